--- a/gentianstair/gateway/fleet.py
+++ b/gentianstair/gateway/autoscaler.py
@@ -8,8 +8,8 @@
 from gentianstair.control import lease
 from gentianstair.gateway import capacity
 from gentianstair.gateway import catalog
-from gentianstair.gateway import following
 from gentianstair.gateway import node as nodes
+from gentianstair.gateway import store_watch
 from gentianstair.generated import events
 from gentianstair.platform import cloud as clouds
 from gentianstair.store import settled
@@ -23,14 +23,14 @@
 REGISTERED_HEARTBEATS = 3.0
 
 
-class Fleet:
+class Autoscaler:
     """Orders replicas of the services that the operator lets it scale."""
 
     def __init__(
         self,
         node: nodes.Node,
         cloud: clouds.Cloud,
-        touch: following.Touch,
+        touch: store_watch.StoreHealth,
     ) -> None:
         self._node = node
         self._cloud = cloud
--- a/gentianstair/gateway/cache_news.py
+++ b/gentianstair/gateway/cache_updates.py
@@ -33,7 +33,7 @@
 _Log = change_log.ChangeLog[tuple[str, str], Change]
 
 
-class CacheNews:
+class CacheUpdates:
     """Changes of the replicas' caches, and who is still to be told."""
 
     def __init__(self, cache: prefix_cache.PrefixCache) -> None:
--- a/gentianstair/gateway/cache_watch.py
+++ b/gentianstair/gateway/cache_watch.py
@@ -7,7 +7,7 @@
 import trio
 
 from gentianstair import errors
-from gentianstair.gateway import cache_news
+from gentianstair.gateway import cache_updates
 from gentianstair.gateway import forward
 from gentianstair.gateway import node as nodes
 from gentianstair.gateway import replicas
@@ -97,7 +97,7 @@
 ) -> None:
     for part, number, tokens in changes.changes:
         node.cache_news.heard(
-            cache_news.Change(replica.name, part, number, tokens), passed_on
+            cache_updates.Change(replica.name, part, number, tokens), passed_on
         )
 
 
--- a/gentianstair/gateway/leaf_link.py
+++ b/gentianstair/gateway/hub_client.py
@@ -5,11 +5,11 @@
 import trio
 
 from gentianstair import errors
-from gentianstair.gateway import hub_link
 from gentianstair.gateway import hubs
-from gentianstair.gateway import knowledge as knowledges
+from gentianstair.gateway import leaf_feed
 from gentianstair.gateway import loads
 from gentianstair.gateway import node as nodes
+from gentianstair.gateway import peer_updates
 from gentianstair.gateway import replicas
 from gentianstair.gateway import roster as rosters
 from gentianstair.generated import events
@@ -32,14 +32,14 @@
 LOOK_S = 0.5
 
 
-class LeafLink:
+class HubClient:
     """The leaf's end of its link; it moves to another hub when it must."""
 
     def __init__(
         self,
         node: nodes.Node,
         network: link.Network,
-        knowledge: knowledges.Knowledge,
+        knowledge: peer_updates.PeerUpdates,
     ) -> None:
         self._node = node
         self._network = network
@@ -159,7 +159,7 @@
                 rosters.Told(
                     node.clock(),
                     feed['vms'],
-                    tuple(hub_link.decode_hub(row) for row in feed['hubs']),
+                    tuple(leaf_feed.decode_hub(row) for row in feed['hubs']),
                     frozenset(feed['follow']),
                 )
             )
--- a/gentianstair/gateway/hub_link.py
+++ b/gentianstair/gateway/leaf_feed.py
@@ -3,18 +3,20 @@
 import typing
 
 from gentianstair import errors
-from gentianstair.gateway import following
 from gentianstair.gateway import hubs
 from gentianstair.gateway import loads
 from gentianstair.gateway import node as nodes
+from gentianstair.gateway import store_watch
 from gentianstair.generated import messages
 from gentianstair.peers import link
 
 
-class HubLink:
+class LeafFeed:
     """The hub's end of one leaf's link: what that leaf has been told."""
 
-    def __init__(self, node: nodes.Node, touch: following.Touch) -> None:
+    def __init__(
+        self, node: nodes.Node, touch: store_watch.StoreHealth
+    ) -> None:
         self._node = node
         self._touch = touch
         # The leaf's process, empty until it has said it.
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -16,21 +16,20 @@
 from gentianstair.control import lease
 from gentianstair.core import ejection
 from gentianstair.core import grace
-from gentianstair.gateway import cache_news
+from gentianstair.gateway import autoscaler
+from gentianstair.gateway import cache_updates
 from gentianstair.gateway import cache_watch
 from gentianstair.gateway import catalog
 from gentianstair.gateway import deployment
 from gentianstair.gateway import duties
 from gentianstair.gateway import environment
-from gentianstair.gateway import fleet as fleets
-from gentianstair.gateway import following
 from gentianstair.gateway import handler
 from gentianstair.gateway import hubs
-from gentianstair.gateway import knowledge as knowledges
-from gentianstair.gateway import links
 from gentianstair.gateway import loads
 from gentianstair.gateway import members as memberships
 from gentianstair.gateway import node as nodes
+from gentianstair.gateway import peer_links
+from gentianstair.gateway import peer_updates
 from gentianstair.gateway import placement
 from gentianstair.gateway import prefix_cache
 from gentianstair.gateway import read_costs
@@ -39,6 +38,7 @@
 from gentianstair.gateway import repeats
 from gentianstair.gateway import replicas
 from gentianstair.gateway import roster as rosters
+from gentianstair.gateway import store_watch
 from gentianstair.gateway import usage
 from gentianstair.generated import events
 from gentianstair.platform import cloud
@@ -79,8 +79,8 @@
     members: memberships.Members
     leases: lease.Leases
     reporter: duties.UsageReporter
-    fleet: fleets.Fleet
-    touch: following.Touch
+    fleet: autoscaler.Autoscaler
+    touch: store_watch.StoreHealth
 
 
 def make_process(live: deployment.Live, nursery: trio.Nursery) -> Process:
@@ -109,7 +109,7 @@
         store, name, now, duties.lease_terms(bounds.lease_s)
     )
     platform = cloud.Cloud(found.duties_address, found.vm)
-    touch = following.Touch(now)
+    touch = store_watch.StoreHealth(now)
     reporter = duties.UsageReporter(
         store,
         members,
@@ -118,7 +118,7 @@
         duties.Terms(bounds.usage_window_s, bounds.usage_late_s),
         wall,
     )
-    fleet = fleets.Fleet(node, platform, touch)
+    fleet = autoscaler.Autoscaler(node, platform, touch)
     return Process(node, members, leases, reporter, fleet, touch)
 
 
@@ -156,7 +156,7 @@
         registry=registry,
         work=work,
         cache=cache,
-        cache_news=cache_news.CacheNews(cache),
+        cache_news=cache_updates.CacheUpdates(cache),
         roster=roster,
         read_costs=costs,
         placement=placement.Placement(
@@ -197,16 +197,16 @@
         )
 
 
-def _sources(process: Process) -> list[following.Source]:
+def _sources(process: Process) -> list[store_watch.Source]:
     node = process.node
     return [
-        following.config_source(
+        store_watch.config_source(
             configuration.decode,
             configuration.NAME,
             configuration.KIND,
             functools.partial(_take_catalog, node),
         ),
-        following.replica_source(
+        store_watch.replica_source(
             registry.decode, registry.KIND, node.registry
         ),
     ]
@@ -217,22 +217,22 @@
 ) -> list[collections.abc.Callable[[], collections.abc.Awaitable[None]]]:
     """Return what a process does beside the requests and the duties."""
     node = process.node
-    knowledge = knowledges.Knowledge(
+    knowledge = peer_updates.PeerUpdates(
         configuration.decode,
         functools.partial(_take_catalog, node),
         process.touch,
     )
-    turn = following.Turn(node.roster.is_told, node.roster.count)
+    turn = store_watch.ReadPolicy(node.roster.is_told, node.roster.count)
     follow = [
         functools.partial(
-            following.follow, node.store, source, process.touch, turn
+            store_watch.follow, node.store, source, process.touch, turn
         )
         for source in _sources(process)
     ]
     return [
         *follow,
         functools.partial(process.members.run, node.roster.is_told),
-        functools.partial(links.run, node, knowledge),
+        functools.partial(peer_links.run, node, knowledge),
         functools.partial(cache_watch.run, node),
     ]
 
--- a/gentianstair/gateway/node.py
+++ b/gentianstair/gateway/node.py
@@ -6,7 +6,7 @@
 
 from gentianstair.core import ejection
 from gentianstair.core import grace
-from gentianstair.gateway import cache_news
+from gentianstair.gateway import cache_updates
 from gentianstair.gateway import catalog
 from gentianstair.gateway import deployment
 from gentianstair.gateway import loads
@@ -49,7 +49,7 @@
     registry: replicas.Registry
     work: loads.Loads
     cache: prefix_cache.PrefixCache
-    cache_news: cache_news.CacheNews
+    cache_news: cache_updates.CacheUpdates
     roster: roster.Roster
     read_costs: read_costs.ReadCosts
     placement: placement.Placement
--- a/gentianstair/gateway/links.py
+++ b/gentianstair/gateway/peer_links.py
@@ -14,11 +14,11 @@
 import trio
 
 from gentianstair import errors
-from gentianstair.gateway import hub_link
-from gentianstair.gateway import knowledge as knowledges
-from gentianstair.gateway import leaf_link
+from gentianstair.gateway import hub_client
+from gentianstair.gateway import leaf_feed
 from gentianstair.gateway import loads
 from gentianstair.gateway import node as nodes
+from gentianstair.gateway import peer_updates
 from gentianstair.gateway import replicas
 from gentianstair.generated import events
 from gentianstair.generated import messages
@@ -47,14 +47,14 @@
 SILENT_S = 5.0
 
 
-class Links:
+class PeerLinks:
     """Links of a hub: one to and one from each other, one from each leaf."""
 
     def __init__(
         self,
         node: nodes.Node,
         network: link.Network,
-        knowledge: knowledges.Knowledge,
+        knowledge: peer_updates.PeerUpdates,
         chance: random.Random,
     ) -> None:
         self._node = node
@@ -131,7 +131,7 @@
         told_at = 0
         while True:
             news = node.cache_news.mine
-            message = leaf_link.load_message(
+            message = hub_client.load_message(
                 node, node.work.part(), told_at, leaf=False
             )
             told_at = news.position
@@ -144,7 +144,7 @@
 
     async def _accept(self, channel: link.Channel) -> None:
         """Serve a link that a peer opened."""
-        leaf = hub_link.HubLink(self._node, self._knowledge.touch)
+        leaf = leaf_feed.LeafFeed(self._node, self._knowledge.touch)
         try:
             await self._hear(channel, SILENT_S, leaf)
         except link.LinkClosedError as error:
@@ -157,7 +157,7 @@
         self,
         channel: link.Channel,
         limit_s: float,
-        leaf: hub_link.HubLink | None = None,
+        leaf: leaf_feed.LeafFeed | None = None,
     ) -> None:
         while True:
             data = None
@@ -179,7 +179,7 @@
         self,
         channel: link.Channel,
         message: link.Message,
-        leaf: hub_link.HubLink | None,
+        leaf: leaf_feed.LeafFeed | None,
     ) -> None:
         if message['type'] == 'load' and message.get('leaf') and leaf:
             told = typing.cast(messages.GatewayLoad, message)
@@ -272,15 +272,15 @@
         raise link.LinkClosedError('the peer takes nothing')
 
 
-async def run(node: nodes.Node, knowledge: knowledges.Knowledge) -> None:
+async def run(node: nodes.Node, knowledge: peer_updates.PeerUpdates) -> None:
     """Keep the links of a process, as a hub or a leaf, until cancelled."""
     found = node.deployment
     network = link.WebsocketNetwork(found.peer_address, None)
-    links = Links(node, network, knowledge, random.Random(found.vm))
-    to_hub = leaf_link.LeafLink(node, network, knowledge)
+    links = PeerLinks(node, network, knowledge, random.Random(found.vm))
+    to_hub = hub_client.HubClient(node, network, knowledge)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(links.run)
         nursery.start_soon(to_hub.run)
 
 
-__all__ = ['Links', 'run']
+__all__ = ['PeerLinks', 'run']
--- a/gentianstair/gateway/knowledge.py
+++ b/gentianstair/gateway/peer_updates.py
@@ -6,16 +6,16 @@
 
 from gentianstair import errors
 from gentianstair.gateway import catalog
-from gentianstair.gateway import following
+from gentianstair.gateway import store_watch
 from gentianstair.generated import events
 
 
-class Knowledge(typing.NamedTuple):
+class PeerUpdates(typing.NamedTuple):
     """What a process does with news; the adapter decodes configurations."""
 
     decode_catalog: typing.Callable[[typing.Any], catalog.Catalog]
     take_catalog: typing.Callable[[catalog.Catalog], None]
-    touch: following.Touch
+    touch: store_watch.StoreHealth
 
     def take_config(self, raw: typing.Any) -> None:
         """Put a peer's configuration in force if it can be read."""
--- a/gentianstair/gateway/following.py
+++ b/gentianstair/gateway/store_watch.py
@@ -60,7 +60,7 @@
     is_urgent: bool = False
 
 
-class Touch:
+class StoreHealth:
     """When the store last answered; dependents look at its age."""
 
     def __init__(self, clock: clocks.Clock) -> None:
@@ -138,7 +138,7 @@
             ).info('the store does not answer')
 
 
-class Turn(typing.NamedTuple):
+class ReadPolicy(typing.NamedTuple):
     """Whether this process has to read the store, and how soon again."""
 
     # Whether another VM keeps this one up to date.
@@ -155,14 +155,14 @@
         return RETRY_S * max(1.0, self.vms() / RETRY_VMS)
 
 
-ALWAYS = Turn(lambda: False, lambda: 1)
+ALWAYS = ReadPolicy(lambda: False, lambda: 1)
 
 
 async def follow(
     store: stores.Store,
     source: Source,
-    touch: Touch,
-    turn: Turn = ALWAYS,
+    touch: StoreHealth,
+    turn: ReadPolicy = ALWAYS,
 ) -> None:
     """Keep what source describes up to date, until cancelled.
 
--- a/test/gateway/test_cache_news.py
+++ b/test/gateway/test_cache_updates.py
@@ -3,10 +3,10 @@
 import pytest
 
 from gentianstair import errors
-from gentianstair.gateway import cache_news
+from gentianstair.gateway import cache_updates
 from gentianstair.gateway import calls
 from gentianstair.gateway import change_log
-from gentianstair.gateway import hub_link
+from gentianstair.gateway import leaf_feed
 from gentianstair.gateway import prefix_cache
 
 PART = calls.PromptPart('c0de', 9000)
@@ -14,12 +14,12 @@
 
 
 def change(number, tokens, part='c0de'):
-    return cache_news.Change('i-1', part, number, tokens)
+    return cache_updates.Change('i-1', part, number, tokens)
 
 
 @pytest.fixture
 def news():
-    return cache_news.CacheNews(prefix_cache.PrefixCache())
+    return cache_updates.CacheUpdates(prefix_cache.PrefixCache())
 
 
 @pytest.mark.parametrize(
@@ -35,7 +35,7 @@
 )
 def test_what_is_believed(news, changes, unread_tokens):
     cache = prefix_cache.PrefixCache()
-    news = cache_news.CacheNews(cache)
+    news = cache_updates.CacheUpdates(cache)
     for found in changes:
         news.heard(found, passed_on=True)
     assert cache.unread_tokens('i-1', PROMPT) == unread_tokens
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize('row', [[], ['vm'], ['vm', 'a', 'b', 'c']])
 def test_a_hub_that_makes_no_sense_is_refused(row):
     with pytest.raises(errors.DecodeError):
-        hub_link.decode_hub(row)
+        leaf_feed.decode_hub(row)
 
 
 def test_a_reader_far_behind_gets_the_newest():
--- a/test/gateway/test_leaf_link.py
+++ b/test/gateway/test_hub_client.py
@@ -6,8 +6,8 @@
 import pytest
 import trio
 
+from gentianstair.gateway import hub_client
 from gentianstair.gateway import hubs
-from gentianstair.gateway import leaf_link
 from gentianstair.peers import link
 from gentianstair.util import clock
 
@@ -55,7 +55,7 @@
     # A leaf opened links to hubs hundreds of times a second.
     found = Hubs(count)
     node = types.SimpleNamespace(roster=found, clock=clock.trio_time_s)
-    leaf = leaf_link.LeafLink(node, found, None)
+    leaf = hub_client.HubClient(node, found, None)
     began_s = trio.current_time()
     with trio.move_on_after(RUN_S):
         await leaf.run()
@@ -63,8 +63,8 @@
     # The first round goes through all of them at once.
     assert times[count - 1] <= 2 * OPEN_S * count
     later = gaps_s(times[count - 1 :])
-    assert min(later) >= leaf_link.LOOK_S
+    assert min(later) >= hub_client.LOOK_S
     # It goes on trying, and each of them.
-    assert max(later) <= leaf_link.LOOK_S + 2 * OPEN_S
+    assert max(later) <= hub_client.LOOK_S + 2 * OPEN_S
     tried = {address for address, _ in found.opened[count:]}
     assert tried == {hub.peer_address for hub in found.found}
--- a/test/gateway/test_hub_link.py
+++ b/test/gateway/test_leaf_feed.py
@@ -2,8 +2,8 @@
 
 import types
 
-from gentianstair.gateway import cache_news
-from gentianstair.gateway import hub_link
+from gentianstair.gateway import cache_updates
+from gentianstair.gateway import leaf_feed
 from gentianstair.gateway import loads
 from gentianstair.gateway import prefix_cache
 from gentianstair.gateway import replicas
@@ -34,7 +34,7 @@
     return types.SimpleNamespace(
         roster=roster,
         work=loads.Loads(clock),
-        cache_news=cache_news.CacheNews(prefix_cache.PrefixCache()),
+        cache_news=cache_updates.CacheUpdates(prefix_cache.PrefixCache()),
         registry=registry,
         force=types.SimpleNamespace(catalog=None),
     )
@@ -44,7 +44,7 @@
     # The hub forgot a leaf that had told it more on a new link.
     node = make_node()
     touch = types.SimpleNamespace(told_age_s=0.0)
-    first, second = (hub_link.HubLink(node, touch) for _ in range(2))
+    first, second = (leaf_feed.LeafFeed(node, touch) for _ in range(2))
     first.answer(WORD)
     second.answer(WORD)
     first.end()
--- a/test/gateway/test_following.py
+++ b/test/gateway/test_store_watch.py
@@ -4,9 +4,9 @@
 import trio
 
 from gentianstair import errors
-from gentianstair.gateway import following
-from gentianstair.gateway import leaf_link
+from gentianstair.gateway import hub_client
 from gentianstair.gateway import replicas
+from gentianstair.gateway import store_watch
 from gentianstair.platform import configuration
 from gentianstair.platform import objects
 from gentianstair.platform import registry as decoding
@@ -28,7 +28,7 @@
         self.store = memory_store.MemoryStore()
         self.registry = replicas.Registry(clock.trio_time_s)
         self.versions = []
-        self.touch = following.Touch(clock.trio_time_s)
+        self.touch = store_watch.StoreHealth(clock.trio_time_s)
 
     def write(self, name, value):
         table = self.store.table
@@ -41,10 +41,10 @@
 
     async def run(self):
         sources = [
-            following.replica_source(
+            store_watch.replica_source(
                 decoding.decode, decoding.KIND, self.registry
             ),
-            following.config_source(
+            store_watch.config_source(
                 configuration.decode,
                 configuration.NAME,
                 configuration.KIND,
@@ -54,7 +54,7 @@
         async with trio.open_nursery() as nursery:
             for source in sources:
                 nursery.start_soon(
-                    following.follow, self.store, source, self.touch
+                    store_watch.follow, self.store, source, self.touch
                 )
 
 
@@ -257,8 +257,8 @@
     watched, autojump_clock, phase
 ):
     # Leaves of a hub that is turned away gave a leaving replica work.
-    await trio.sleep(phase * following.WATCH_S / 16)
-    assert watched.touch.told_age_s < leaf_link.OLD_S
+    await trio.sleep(phase * store_watch.WATCH_S / 16)
+    assert watched.touch.told_age_s < hub_client.OLD_S
     store = watched.store
     real = store.list, store.watch
 
@@ -267,8 +267,8 @@
 
     store.list = store.watch = refuse
     # Only what a held watch of the replicas still told may count.
-    await trio.sleep(following.BEATS_WATCH_S + leaf_link.OLD_S + 0.001)
-    assert watched.touch.told_age_s > leaf_link.OLD_S
+    await trio.sleep(store_watch.BEATS_WATCH_S + hub_client.OLD_S + 0.001)
+    assert watched.touch.told_age_s > hub_client.OLD_S
     store.list, store.watch = real
     await trio.sleep(2.0)
-    assert watched.touch.told_age_s < leaf_link.OLD_S
+    assert watched.touch.told_age_s < hub_client.OLD_S
