--- a/gentianstair/gateway/cache_news.py
+++ b/gentianstair/gateway/cache_news.py
@@ -11,7 +11,7 @@
 
 from gentianstair import errors
 from gentianstair.gateway import change_log
-from gentianstair.gateway import prefix_cache
+from gentianstair.gateway import prefix_index
 
 # Parts shorter than this are read sooner than they are told of.
 LEAST_TOKENS = 500
@@ -36,7 +36,7 @@
 class CacheNews:
     """Changes of the replicas' caches, and who is still to be told."""
 
-    def __init__(self, cache: prefix_cache.PrefixCache) -> None:
+    def __init__(self, cache: prefix_index.PrefixCache) -> None:
         self._cache = cache
         self._numbers: dict[str, dict[str, int]] = {}
         # Heard from replicas by this VM and its leaves, for the other hubs.
--- a/gentianstair/gateway/fleet.py
+++ b/gentianstair/gateway/fleet.py
@@ -6,7 +6,7 @@
 
 from gentianstair import errors
 from gentianstair.control import lease
-from gentianstair.gateway import capacity
+from gentianstair.gateway import autoscaling
 from gentianstair.gateway import catalog
 from gentianstair.gateway import following
 from gentianstair.gateway import node as nodes
@@ -35,7 +35,7 @@
         self._node = node
         self._cloud = cloud
         self._touch = touch
-        self._planner = capacity.Planner()
+        self._planner = autoscaling.Planner()
         self._baselines: dict[str, int] = {}
 
     async def run(self, authority: lease.Authority) -> None:
@@ -70,7 +70,7 @@
         if not baseline:
             return
         warm = self._planner.warm(there, now_s)
-        wanted = capacity.decide(scaling, baseline, there, warm)
+        wanted = autoscaling.decide(scaling, baseline, there, warm)
         due = self._planner.due(service.name, scaling, wanted, there, now_s)
         for order in due:
             try:
@@ -119,7 +119,7 @@
         return found
 
 
-def _tell(event: str, order: capacity.Order, outcome: str) -> None:
+def _tell(event: str, order: autoscaling.Order, outcome: str) -> None:
     loguru.logger.bind(event=event, **order._asdict()).info(
         'ordered {} replicas: {}', order.count, outcome
     )
--- a/gentianstair/gateway/hub_link.py
+++ b/gentianstair/gateway/hub_link.py
@@ -5,8 +5,8 @@
 from gentianstair import errors
 from gentianstair.gateway import following
 from gentianstair.gateway import hubs
-from gentianstair.gateway import loads
 from gentianstair.gateway import node as nodes
+from gentianstair.gateway import replica_load
 from gentianstair.generated import messages
 from gentianstair.peers import link
 
@@ -27,7 +27,9 @@
         node = self._node
         self._leaf = told['process']
         node.roster.leaves[self._leaf] = self
-        node.work.tell(self._leaf, loads.decode(told['loads']), passed_on=True)
+        node.work.tell(
+            self._leaf, replica_load.decode(told['loads']), passed_on=True
+        )
         node.cache_news.take(told.get('cache', ()), passed_on=True)
         return self._news(told['config_version'])
 
@@ -48,7 +50,7 @@
             'type': 'feed',
             'process': node.roster.process,
             'age_ms': int(self._touch.told_age_s * 1000),
-            'loads': loads.encode(node.work.without(self._leaf)),
+            'loads': replica_load.encode(node.work.without(self._leaf)),
             'cache': [list(change) for _, change in cache],
             'replicas': replicas,
             'gone': gone,
--- a/gentianstair/gateway/duties.py
+++ b/gentianstair/gateway/leader_tasks.py
@@ -13,7 +13,7 @@
 from gentianstair import errors
 from gentianstair.control import lease
 from gentianstair.gateway import members as memberships
-from gentianstair.gateway import usage
+from gentianstair.gateway import usage_counter
 from gentianstair.generated import events
 from gentianstair.platform import cloud as clouds
 from gentianstair.store import settled
@@ -50,7 +50,7 @@
         store: stores.Store,
         members: memberships.Members,
         cloud: clouds.Cloud,
-        counts: usage.Counts,
+        counts: usage_counter.Counts,
         terms: Terms,
         wall: typing.Callable[[], float],
     ) -> None:
@@ -112,7 +112,7 @@
             return found
         records = await self._members.records()
         parts = [memberships.counts_of(record) for record in records]
-        counts = usage.total(parts, window)
+        counts = usage_counter.total(parts, window)
         value = {'counts': counts, 'nonce': settled.new_nonce()}
         try:
             await settled.put(
--- a/gentianstair/gateway/leaf_link.py
+++ b/gentianstair/gateway/leaf_link.py
@@ -8,8 +8,8 @@
 from gentianstair.gateway import hub_link
 from gentianstair.gateway import hubs
 from gentianstair.gateway import knowledge as knowledges
-from gentianstair.gateway import loads
 from gentianstair.gateway import node as nodes
+from gentianstair.gateway import replica_load
 from gentianstair.gateway import replicas
 from gentianstair.gateway import roster as rosters
 from gentianstair.generated import events
@@ -149,7 +149,7 @@
         if 'config' in feed:
             knowledge.take_config(feed['config'])
         age_s = feed['age_ms'] / 1000
-        node.work.tell(feed['process'], loads.decode(feed['loads']))
+        node.work.tell(feed['process'], replica_load.decode(feed['loads']))
         node.cache_news.take(feed['cache'], passed_on=False)
         if age_s <= max(OLD_S, knowledge.touch.age_s):
             self._take_replicas(feed)
@@ -183,7 +183,7 @@
 
 def load_message(
     node: nodes.Node,
-    work: dict[str, loads.Load],
+    work: dict[str, replica_load.Load],
     told_at: int,
     leaf: bool,
 ) -> messages.GatewayLoad:
@@ -196,7 +196,7 @@
         'process': node.roster.process,
         'address': node.deployment.peer_address,
         'config_version': force.version if force else 0,
-        'loads': loads.encode(work),
+        'loads': replica_load.encode(work),
         'leaf': leaf,
         'cache': [list(change) for _, change in cache],
     }
--- a/gentianstair/gateway/links.py
+++ b/gentianstair/gateway/links.py
@@ -17,8 +17,8 @@
 from gentianstair.gateway import hub_link
 from gentianstair.gateway import knowledge as knowledges
 from gentianstair.gateway import leaf_link
-from gentianstair.gateway import loads
 from gentianstair.gateway import node as nodes
+from gentianstair.gateway import replica_load
 from gentianstair.gateway import replicas
 from gentianstair.generated import events
 from gentianstair.generated import messages
@@ -192,7 +192,7 @@
             self._take_news(typing.cast(messages.GatewayNews, message))
 
     def _take_load(self, message: messages.GatewayLoad) -> None:
-        found = loads.decode(message['loads'])
+        found = replica_load.decode(message['loads'])
         self._node.work.tell(message['process'], found)
         self._node.cache_news.take(message.get('cache', ()), passed_on=False)
         self._heard.add(message['address'])
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -20,26 +20,26 @@
 from gentianstair.gateway import cache_watch
 from gentianstair.gateway import catalog
 from gentianstair.gateway import deployment
-from gentianstair.gateway import duties
 from gentianstair.gateway import environment
 from gentianstair.gateway import fleet as fleets
 from gentianstair.gateway import following
 from gentianstair.gateway import handler
 from gentianstair.gateway import hubs
 from gentianstair.gateway import knowledge as knowledges
+from gentianstair.gateway import leader_tasks
 from gentianstair.gateway import links
-from gentianstair.gateway import loads
 from gentianstair.gateway import members as memberships
+from gentianstair.gateway import monitoring
 from gentianstair.gateway import node as nodes
 from gentianstair.gateway import placement
-from gentianstair.gateway import prefix_cache
-from gentianstair.gateway import read_costs
-from gentianstair.gateway import ready
+from gentianstair.gateway import prefill_costs
+from gentianstair.gateway import prefix_index
 from gentianstair.gateway import reload
-from gentianstair.gateway import repeats
+from gentianstair.gateway import replica_load
 from gentianstair.gateway import replicas
+from gentianstair.gateway import retry_budget
 from gentianstair.gateway import roster as rosters
-from gentianstair.gateway import usage
+from gentianstair.gateway import usage_counter
 from gentianstair.generated import events
 from gentianstair.platform import cloud
 from gentianstair.platform import configuration
@@ -78,7 +78,7 @@
     node: nodes.Node
     members: memberships.Members
     leases: lease.Leases
-    reporter: duties.UsageReporter
+    reporter: leader_tasks.UsageReporter
     fleet: fleets.Fleet
     touch: following.Touch
 
@@ -90,7 +90,7 @@
     store = objects.connect(found.store_address, found.vm)
     bounds = found.bounds
     wall = steady_wall.SteadyWall(time.time, now)
-    counts = usage.Counts(wall, bounds.usage_window_s)
+    counts = usage_counter.Counts(wall, bounds.usage_window_s)
     name = f'{found.vm}.{settled.new_nonce()}'
     record = memberships.Record(
         vm=found.vm,
@@ -100,31 +100,31 @@
         windows={},
         cores=found.cores,
     )
-    costs = read_costs.ReadCosts()
+    costs = prefill_costs.ReadCosts()
     members = memberships.Members(
         store, name, record, counts, now, found.store_writes_per_s, costs
     )
     node = _make_node(live, store, counts, members, costs, nursery)
     leases = lease.make_leases(
-        store, name, now, duties.lease_terms(bounds.lease_s)
+        store, name, now, leader_tasks.lease_terms(bounds.lease_s)
     )
     platform = cloud.Cloud(found.duties_address, found.vm)
     touch = following.Touch(now)
-    reporter = duties.UsageReporter(
+    reporter = leader_tasks.UsageReporter(
         store,
         members,
         platform,
         counts,
-        duties.Terms(bounds.usage_window_s, bounds.usage_late_s),
+        leader_tasks.Terms(bounds.usage_window_s, bounds.usage_late_s),
         wall,
     )
     fleet = fleets.Fleet(node, platform, touch)
     return Process(node, members, leases, reporter, fleet, touch)
 
 
-def _repeat_terms(live: deployment.Live) -> repeats.Terms:
+def _repeat_terms(live: deployment.Live) -> retry_budget.Terms:
     bounds = live.value.bounds
-    return repeats.Terms(
+    return retry_budget.Terms(
         bounds.repeat_ratio,
         bounds.repeat_allowance,
         bounds.repeat_window_s,
@@ -134,15 +134,15 @@
 def _make_node(
     live: deployment.Live,
     store: objects.ObjectStore,
-    counts: usage.Counts,
+    counts: usage_counter.Counts,
     members: memberships.Members,
-    costs: read_costs.ReadCosts,
+    costs: prefill_costs.ReadCosts,
     nursery: trio.Nursery,
 ) -> nodes.Node:
     now = clock.boottime_s
     found = live.value
-    work = loads.Loads(now)
-    cache = prefix_cache.PrefixCache()
+    work = replica_load.Loads(now)
+    cache = prefix_index.PrefixCache()
     registry = replicas.Registry(now)
     own = hubs.Vm(
         found.vm, found.failure_domain, found.peer_address, found.cores
@@ -166,7 +166,7 @@
             costs,
             random.Random(found.vm),
         ),
-        repeats=repeats.Repeats(
+        repeats=retry_budget.Repeats(
             functools.partial(_repeat_terms, live),
             now,
             roster.count,
@@ -269,8 +269,8 @@
     if not found.whole_system_starts:
         # The process before this one may have held the lease a moment ago;
         # to take it right after another would be taking turns.
-        await trio.sleep(duties.lease_terms(found.bounds.lease_s).rest_s)
-    scopes = {duties.SCOPE: functools.partial(_do_duties, process)}
+        await trio.sleep(leader_tasks.lease_terms(found.bounds.lease_s).rest_s)
+    scopes = {leader_tasks.SCOPE: functools.partial(_do_duties, process)}
     roster = process.node.roster
 
     def scopes_here() -> dict[str, lease.Role]:
@@ -282,10 +282,10 @@
         nursery.start_soon(process.leases.run, scopes_here)
         while True:
             process.leases.candidates = process.members.candidates(
-                duties.watch_s(found.bounds.lease_s),
+                leader_tasks.watch_s(found.bounds.lease_s),
                 {hub.name for hub in roster.hubs()},
             )
-            await trio.sleep(duties.LOOK_S)
+            await trio.sleep(leader_tasks.LOOK_S)
 
 
 def answered_s(grace_s: float) -> float:
@@ -332,14 +332,14 @@
         node = process.node
         reloader = reload.Reloader(file, live, settings.read)
         nursery.start_soon(reloader.run)
-        apps = [(ready.make_app(node), ready_sock)]
+        apps = [(monitoring.make_app(node), ready_sock)]
         if own.metrics_port is not None:
             sock = serving.listen(f'{found.ip}:{own.metrics_port}')
-            apps.append((ready.make_metrics_app(), sock))
+            apps.append((monitoring.make_metrics_app(), sock))
         for app, sock in apps:
             nursery.start_soon(
                 functools.partial(
-                    serving.serve, app, sock, ready.never, READY_GRACE_S
+                    serving.serve, app, sock, monitoring.never, READY_GRACE_S
                 )
             )
         for work in _background(process):
--- a/gentianstair/gateway/members.py
+++ b/gentianstair/gateway/members.py
@@ -13,8 +13,8 @@
 import trio
 
 from gentianstair import errors
-from gentianstair.gateway import read_costs
-from gentianstair.gateway import usage
+from gentianstair.gateway import prefill_costs
+from gentianstair.gateway import usage_counter
 from gentianstair.generated import events
 from gentianstair.store import store as stores
 from gentianstair.util import clock as clocks
@@ -55,7 +55,7 @@
     # The VM's share of a core times the core's speed.
     cores: float = 0.0
     # What it learned of the cost of reads.
-    costs: list[read_costs.Learned] = []
+    costs: list[prefill_costs.Learned] = []
 
 
 class Member(typing.NamedTuple):
@@ -67,7 +67,7 @@
     since_s: float
 
 
-def counts_of(record: Record) -> usage.Windows:
+def counts_of(record: Record) -> usage_counter.Windows:
     """Return the usage counts in a record."""
     return {int(window): found for window, found in record.windows.items()}
 
@@ -89,10 +89,10 @@
         store: stores.Store,
         name: str,
         record: Record,
-        counts: usage.Counts,
+        counts: usage_counter.Counts,
         clock: clocks.Clock,
         writes_per_s: float,
-        costs: read_costs.ReadCosts | None = None,
+        costs: prefill_costs.ReadCosts | None = None,
     ) -> None:
         self._store = store
         self._name = name
@@ -100,7 +100,7 @@
         self._counts = counts
         self._clock = clock
         self._writes_per_s = writes_per_s
-        self._costs = costs or read_costs.ReadCosts()
+        self._costs = costs or prefill_costs.ReadCosts()
         self._version = 0
         self._seen: dict[str, Member] = {}
         # When the store last said who is there.
--- a/gentianstair/gateway/node.py
+++ b/gentianstair/gateway/node.py
@@ -9,14 +9,14 @@
 from gentianstair.gateway import cache_news
 from gentianstair.gateway import catalog
 from gentianstair.gateway import deployment
-from gentianstair.gateway import loads
 from gentianstair.gateway import placement
-from gentianstair.gateway import prefix_cache
-from gentianstair.gateway import read_costs
-from gentianstair.gateway import repeats
+from gentianstair.gateway import prefill_costs
+from gentianstair.gateway import prefix_index
+from gentianstair.gateway import replica_load
 from gentianstair.gateway import replicas
+from gentianstair.gateway import retry_budget
 from gentianstair.gateway import roster
-from gentianstair.gateway import usage
+from gentianstair.gateway import usage_counter
 from gentianstair.store import store as stores
 from gentianstair.upstreams import transport as transports
 from gentianstair.util import clock as clocks
@@ -47,17 +47,17 @@
     started_s: float
     force: Force
     registry: replicas.Registry
-    work: loads.Loads
-    cache: prefix_cache.PrefixCache
+    work: replica_load.Loads
+    cache: prefix_index.PrefixCache
     cache_news: cache_news.CacheNews
     roster: roster.Roster
-    read_costs: read_costs.ReadCosts
+    read_costs: prefill_costs.ReadCosts
     placement: placement.Placement
-    repeats: repeats.Repeats
+    repeats: retry_budget.Repeats
     ejector: ejection.Ejector
     transport: transports.Transport
     store: stores.Store
-    usage: usage.Counts
+    usage: usage_counter.Counts
     # Set at a planned stop: answers close their connections.
     leaving: trio.Event
     grace: grace.Grace
--- a/gentianstair/gateway/placement.py
+++ b/gentianstair/gateway/placement.py
@@ -12,9 +12,9 @@
 
 from gentianstair.gateway import calls
 from gentianstair.gateway import catalog
-from gentianstair.gateway import loads
-from gentianstair.gateway import prefix_cache
-from gentianstair.gateway import read_costs
+from gentianstair.gateway import prefill_costs
+from gentianstair.gateway import prefix_index
+from gentianstair.gateway import replica_load
 from gentianstair.gateway import replicas
 
 # What a move of KV costs besides its bytes, in seconds: setting it up and
@@ -107,9 +107,9 @@
     def __init__(
         self,
         failure_domain: str,
-        work: loads.Loads,
-        cache: prefix_cache.PrefixCache,
-        costs: read_costs.ReadCosts,
+        work: replica_load.Loads,
+        cache: prefix_index.PrefixCache,
+        costs: prefill_costs.ReadCosts,
         chance: random.Random,
     ) -> None:
         self._failure_domain = failure_domain
@@ -146,8 +146,8 @@
         sources = self._sources(keepers, prompt)
         need = _Need(engine, prompt, body_bytes, sources)
         found = self._draw(found, prompt)
-        makers = [r for r in found if r.stage != read_costs.READS]
-        readers = [r for r in found if r.stage == read_costs.READS]
+        makers = [r for r in found if r.stage != prefill_costs.READS]
+        readers = [r for r in found if r.stage == prefill_costs.READS]
         if not makers:
             return None
         direct = [self._reading(r, need) for r in makers]
@@ -188,8 +188,8 @@
         drawn = [replica for replica in found if replica.name in holders]
         rest = [replica for replica in found if replica.name not in holders]
         self._random.shuffle(rest)
-        readers = [r for r in rest if r.stage == read_costs.READS]
-        makers = [r for r in rest if r.stage != read_costs.READS]
+        readers = [r for r in rest if r.stage == prefill_costs.READS]
+        makers = [r for r in rest if r.stage != prefill_costs.READS]
         return drawn + readers[:DRAWN] + makers[:DRAWN]
 
     def _sources(
@@ -217,7 +217,7 @@
         self, found: list[replicas.Replica], body_bytes: int
     ) -> replicas.Replica | None:
         """Return where to make the output of a prompt that has been read."""
-        makers = [r for r in found if r.stage != read_costs.READS]
+        makers = [r for r in found if r.stage != prefill_costs.READS]
         return min(
             makers,
             key=lambda r: (
@@ -253,7 +253,7 @@
 
     def _cost(
         self, replica: replicas.Replica, unread: int, need: _Need
-    ) -> read_costs.Cost:
+    ) -> prefill_costs.Cost:
         return self._costs.expect(
             replica.service, replica.stage, unread, need.prompt.tokens
         )
--- a/gentianstair/gateway/streaming.py
+++ b/gentianstair/gateway/streaming.py
@@ -18,8 +18,8 @@
 from gentianstair.gateway import event_stream
 from gentianstair.gateway import forward
 from gentianstair.gateway import placement
-from gentianstair.gateway import prompt_read
 from gentianstair.gateway import reading as readings
+from gentianstair.gateway import remote_prefill
 from gentianstair.gateway import replicas
 from gentianstair.gateway import task as tasks
 from gentianstair.generated import events
@@ -48,7 +48,9 @@
         self._engine = engine or ENGINE
         self._prompt = task.call.prompt or calls.Prompt('', 0, 0, ())
         self._events = event_stream.Events()
-        self._read = prompt_read.PromptRead(task, self._prompt, self._engine)
+        self._read = remote_prefill.PromptRead(
+            task, self._prompt, self._engine
+        )
         # Passed through when a replica itself refuses or fails.
         self.answer: forward.Answer | None = None
 
--- a/test/gateway/test_capacity.py
+++ b/test/gateway/test_autoscaling.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gentianstair.gateway import capacity
+from gentianstair.gateway import autoscaling
 from gentianstair.gateway import catalog
 from gentianstair.gateway import replicas
 
@@ -50,7 +50,7 @@
 )
 def test_what_is_wanted(cheap, dear, wanted_cheap, wanted_dear):
     found = fleet(cheap, dear)
-    wanted = capacity.decide(SCALING, 5, found, names(found))
+    wanted = autoscaling.decide(SCALING, 5, found, names(found))
     assert sum(wanted.reclaimable.values()) == wanted_cheap
     steady = {d: wanted_dear.count(d) for d in PRICES}
     assert wanted.steady == steady
@@ -67,16 +67,16 @@
     callers' objectives run: the first seconds are the worst of the day.
     """
     found = fleet('aabbcc', 'abc')
-    wanted = capacity.decide(SCALING, 5, found, ())
+    wanted = autoscaling.decide(SCALING, 5, found, ())
     assert sum(wanted.steady.values()) == 3
-    wanted = capacity.decide(SCALING, 5, found, names(found))
+    wanted = autoscaling.decide(SCALING, 5, found, names(found))
     assert sum(wanted.steady.values()) == 0
 
 
 def test_dear_ones_are_let_go_one_by_one():
-    planner = capacity.Planner()
+    planner = autoscaling.Planner()
     found = fleet('aabbcc', 'abc')
-    wanted = capacity.decide(SCALING, 5, found, names(found))
+    wanted = autoscaling.decide(SCALING, 5, found, names(found))
     now_s, let_go = 100.0, []
     for _ in range(100):
         for order in planner.due('models', SCALING, wanted, found, now_s):
@@ -91,7 +91,7 @@
         now_s += 0.1
     assert [count for _, _, count in let_go] == [0, 0, 0]
     times_s = [at_s for at_s, _, _ in let_go]
-    assert times_s[2] - times_s[0] >= 2 * capacity.LET_GO_PAUSE_S - 0.01
+    assert times_s[2] - times_s[0] >= 2 * autoscaling.LET_GO_PAUSE_S - 0.01
 
 
 @pytest.mark.parametrize(
@@ -99,34 +99,34 @@
 )
 def test_cheap_ones_by_their_price(price, total):
     scaling = SCALING._replace(reclaimable_price=price)
-    wanted = capacity.decide(scaling, 5, [], ())
+    wanted = autoscaling.decide(scaling, 5, [], ())
     assert sum(wanted.reclaimable.values()) == total
 
 
 def test_both_kinds_share_the_most_of_a_domain():
     """The platform refuses an order past the most of both kinds together."""
-    planner = capacity.Planner()
+    planner = autoscaling.Planner()
     found = fleet('', 'aabcc')
-    wanted = capacity.decide(SCALING, 5, found, ())
+    wanted = autoscaling.decide(SCALING, 5, found, ())
     orders = planner.due('models', SCALING, wanted, found, 0.0)
     counts = {o.failure_domain: o.count for o in orders if o.reclaimable}
     assert counts == {'a': 1, 'b': 2, 'c': 1}
 
 
 def test_an_order_is_not_repeated_while_it_takes_effect():
-    planner = capacity.Planner()
+    planner = autoscaling.Planner()
     found = fleet('', 'aabcc')
-    wanted = capacity.decide(SCALING, 5, found, ())
+    wanted = autoscaling.decide(SCALING, 5, found, ())
     for order in planner.due('models', SCALING, wanted, found, 0.0):
         planner.ordered(order, SCALING, 0.0)
     assert planner.due('models', SCALING, wanted, found, 3.0) == []
-    later_s = SCALING.boot_s + capacity.PATIENCE_S + 0.1
+    later_s = SCALING.boot_s + autoscaling.PATIENCE_S + 0.1
     assert planner.due('models', SCALING, wanted, found, later_s)
 
 
 def test_none_to_be_had_is_asked_again_soon():
-    planner = capacity.Planner()
-    wanted = capacity.decide(SCALING, 5, [], ())
+    planner = autoscaling.Planner()
+    wanted = autoscaling.decide(SCALING, 5, [], ())
     orders = planner.due('models', SCALING, wanted, [], 0.0)
     for order in orders:
         planner.none_left(order, 0.0)
@@ -140,18 +140,18 @@
     The order was taken to be still under way, and for five seconds, under
     the day's heaviest load, nothing was asked for.
     """
-    planner = capacity.Planner()
+    planner = autoscaling.Planner()
     found = fleet('aaabbbccc')
-    wanted = capacity.decide(SCALING, 5, found, names(found))
+    wanted = autoscaling.decide(SCALING, 5, found, names(found))
     for order in planner.due('models', SCALING, wanted, fleet('aaabbb'), 0.0):
         planner.ordered(order, SCALING, 0.0)
     assert planner.due('models', SCALING, wanted, found, 1.0) == []
     left = fleet('aaabbb', '', 'ccc')
     (order,) = planner.due('models', SCALING, wanted, left, 1.5)
-    assert order == capacity.Order('models', 'c', True, 3)
+    assert order == autoscaling.Order('models', 'c', True, 3)
 
 
 def test_a_draining_replica_does_not_count():
     found = fleet('aabb', '', 'cc')
-    wanted = capacity.decide(SCALING, 5, found, names(found))
+    wanted = autoscaling.decide(SCALING, 5, found, names(found))
     assert sum(wanted.steady.values()) == 1
--- a/test/gateway/test_cache_news.py
+++ b/test/gateway/test_cache_news.py
@@ -7,7 +7,7 @@
 from gentianstair.gateway import calls
 from gentianstair.gateway import change_log
 from gentianstair.gateway import hub_link
-from gentianstair.gateway import prefix_cache
+from gentianstair.gateway import prefix_index
 
 PART = calls.PromptPart('c0de', 9000)
 PROMPT = calls.Prompt('m', 9100, 10, (PART, calls.PromptPart('b0b', 100)))
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def news():
-    return cache_news.CacheNews(prefix_cache.PrefixCache())
+    return cache_news.CacheNews(prefix_index.PrefixCache())
 
 
 @pytest.mark.parametrize(
@@ -34,7 +34,7 @@
     ],
 )
 def test_what_is_believed(news, changes, unread_tokens):
-    cache = prefix_cache.PrefixCache()
+    cache = prefix_index.PrefixCache()
     news = cache_news.CacheNews(cache)
     for found in changes:
         news.heard(found, passed_on=True)
--- a/test/gateway/test_hub_link.py
+++ b/test/gateway/test_hub_link.py
@@ -4,15 +4,15 @@
 
 from gentianstair.gateway import cache_news
 from gentianstair.gateway import hub_link
-from gentianstair.gateway import loads
-from gentianstair.gateway import prefix_cache
+from gentianstair.gateway import prefix_index
+from gentianstair.gateway import replica_load
 from gentianstair.gateway import replicas
 from gentianstair.gateway import roster as rosters
 
 LEAF = 'vm-2.ab'
 WORD = {
     'process': LEAF,
-    'loads': loads.encode({'i-1': loads.Load(3, 40.0)}),
+    'loads': replica_load.encode({'i-1': replica_load.Load(3, 40.0)}),
     'config_version': 0,
 }
 
@@ -33,8 +33,8 @@
     roster.follows_of = lambda process: []
     return types.SimpleNamespace(
         roster=roster,
-        work=loads.Loads(clock),
-        cache_news=cache_news.CacheNews(prefix_cache.PrefixCache()),
+        work=replica_load.Loads(clock),
+        cache_news=cache_news.CacheNews(prefix_index.PrefixCache()),
         registry=registry,
         force=types.SimpleNamespace(catalog=None),
     )
--- a/test/gateway/test_duties.py
+++ b/test/gateway/test_leader_tasks.py
@@ -6,15 +6,15 @@
 from gentianstair import errors
 from gentianstair import verdict as verdicts
 from gentianstair.control import lease
-from gentianstair.gateway import duties
+from gentianstair.gateway import leader_tasks
 from gentianstair.gateway import members as memberships
-from gentianstair.gateway import usage
+from gentianstair.gateway import usage_counter
 from gentianstair.util import clock
 from standins import memory_store
 from standins.platform import objects
 
 WINDOW_S = 5.0
-TERMS = duties.Terms(WINDOW_S, 10.0)
+TERMS = leader_tasks.Terms(WINDOW_S, 10.0)
 
 
 class Cloud:
@@ -37,12 +37,12 @@
 
     def __init__(self, table, cloud, name, wall):
         self.store = memory_store.MemoryStore(table)
-        self.counts = usage.Counts(wall, WINDOW_S)
+        self.counts = usage_counter.Counts(wall, WINDOW_S)
         record = memberships.Record(name, 'a', '', 0, {})
         self.members = memberships.Members(
             self.store, name, record, self.counts, clock.trio_time_s, 400
         )
-        self.reporter = duties.UsageReporter(
+        self.reporter = leader_tasks.UsageReporter(
             self.store,
             self.members,
             cloud,
@@ -131,7 +131,7 @@
     await trio.sleep(20)
     nursery.start_soon(two.members.run)
     await trio.sleep(2)
-    least_s = duties.watch_s(3.0)
+    least_s = leader_tasks.watch_s(3.0)
     assert one.members.candidates(least_s) == ('p1',)
     await trio.sleep(10)
     assert one.members.candidates(least_s) == ('p1', 'p2')
@@ -144,7 +144,7 @@
     nursery.start_soon(one.members.run)
     nursery.start_soon(two.members.run)
     await trio.sleep(2)
-    assert one.members.candidates(duties.watch_s(3.0)) == ('p1', 'p2')
+    assert one.members.candidates(leader_tasks.watch_s(3.0)) == ('p1', 'p2')
 
 
 async def test_an_unreadable_seal_is_not_reported(pair, autojump_clock):
--- a/test/gateway/test_placement.py
+++ b/test/gateway/test_placement.py
@@ -7,10 +7,10 @@
 
 from gentianstair.gateway import calls
 from gentianstair.gateway import catalog
-from gentianstair.gateway import loads
 from gentianstair.gateway import placement
-from gentianstair.gateway import prefix_cache
-from gentianstair.gateway import read_costs
+from gentianstair.gateway import prefill_costs
+from gentianstair.gateway import prefix_index
+from gentianstair.gateway import replica_load
 from gentianstair.gateway import replicas
 
 ENGINE = catalog.Engine(64, 400000, 18432, 180000.0, 5.0, 3.0, ('m',))
@@ -36,13 +36,13 @@
 
     def __init__(self):
         self.now_s = 0.0
-        self.work = loads.Loads(lambda: self.now_s)
-        self.cache = prefix_cache.PrefixCache()
+        self.work = replica_load.Loads(lambda: self.now_s)
+        self.cache = prefix_index.PrefixCache()
         self.placement = placement.Placement(
             'a',
             self.work,
             self.cache,
-            read_costs.ReadCosts(),
+            prefill_costs.ReadCosts(),
             random.Random(7),
         )
 
@@ -101,12 +101,12 @@
 
 def test_peers_loads_count_and_are_forgotten():
     model = Model()
-    model.work.tell('peer', {'maker-1': loads.Load(60, 0)})
+    model.work.tell('peer', {'maker-1': replica_load.Load(60, 0)})
     makers = FLEET[2:]
     short = prompt(100, 200)
     names = {model.stream(makers, short).maker.name for _ in range(20)}
     assert names == {'maker-2'}
-    model.now_s += loads.PEER_MEMORY_S + 0.1
+    model.now_s += replica_load.PEER_MEMORY_S + 0.1
     names = {model.stream(makers, short).maker.name for _ in range(20)}
     assert names == {'maker-1', 'maker-2'}
 
@@ -250,7 +250,7 @@
     model = Model()
     model.work.begin('reader-1', 0.5, 1.5)
     model.now_s = now_s
-    assert model.work.at('reader-1') == loads.Load(1, left_ms)
+    assert model.work.at('reader-1') == replica_load.Load(1, left_ms)
 
 
 @pytest.mark.parametrize(
--- a/test/gateway/test_reads_under_load.py
+++ b/test/gateway/test_placement_under_load.py
@@ -13,10 +13,10 @@
 
 from gentianstair.gateway import calls
 from gentianstair.gateway import catalog
-from gentianstair.gateway import loads
 from gentianstair.gateway import placement
-from gentianstair.gateway import prefix_cache
-from gentianstair.gateway import read_costs
+from gentianstair.gateway import prefill_costs
+from gentianstair.gateway import prefix_index
+from gentianstair.gateway import replica_load
 from gentianstair.gateway import replicas
 
 ENGINE = catalog.Engine(64, 468083, 35136, 300000.0, 5.0, 3.0, ('m',))
@@ -73,9 +73,9 @@
         self.found = fleet()
         self.free_s = {replica.name: 0.0 for replica in self.found}
         self.kept = {replica.name: set() for replica in self.found}
-        self.work = loads.Loads(lambda: self.now_s)
-        self.cache = prefix_cache.PrefixCache()
-        self.costs = read_costs.ReadCosts()
+        self.work = replica_load.Loads(lambda: self.now_s)
+        self.cache = prefix_index.PrefixCache()
+        self.costs = prefill_costs.ReadCosts()
         self.placement = placement.Placement(
             'a', self.work, self.cache, self.costs, random.Random(seed)
         )
@@ -89,7 +89,7 @@
             kept |= self.kept[copied_from]
         unread = sum(p.tokens for p in prompt.parts if p.name not in kept)
         kept |= {part.name for part in prompt.parts}
-        _, thousands, pairs = read_costs.terms(unread, prompt.tokens)
+        _, thousands, pairs = prefill_costs.terms(unread, prompt.tokens)
         work_s = thousands * FIGURES[1] + pairs * FIGURES[2]
         if replica.stage == 'decode':
             work_s *= MAKER_TIMES
--- a/test/gateway/test_read_costs.py
+++ b/test/gateway/test_prefill_costs.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gentianstair.gateway import read_costs
+from gentianstair.gateway import prefill_costs
 
 # Seconds to the first token, a thousand tokens, a million pairs.
 ENGINES = [(0.132, 0.0239, 0.0007), (0.01, 0.1, 0.002), (0.3, 0.005, 0.0001)]
@@ -25,9 +25,9 @@
 @pytest.mark.parametrize('seed', [1, 2])
 def test_figures_are_learned(engine, seed):
     chance = random.Random(seed)
-    costs = read_costs.ReadCosts()
+    costs = prefill_costs.ReadCosts()
     for unread, total in reads(chance, 600):
-        found = read_costs.terms(unread, total)
+        found = prefill_costs.terms(unread, total)
         took_s = sum(a * b for a, b in zip(engine, found, strict=True))
         took_s *= chance.uniform(0.95, 1.05)
         # One in ten waited unseen, or found what was believed kept gone.
@@ -35,16 +35,16 @@
             took_s += chance.uniform(0.2, 2.0)
         costs.note('s', 'prefill', unread, total, took_s)
     for unread, total in ((300, 600), (3700, 17000), (17000, 17000)):
-        found = read_costs.terms(unread, total)
+        found = prefill_costs.terms(unread, total)
         real_s = sum(a * b for a, b in zip(engine, found, strict=True))
         cost = costs.expect('s', 'prefill', unread, total)
         assert cost.latency_s + cost.work_s == pytest.approx(real_s, rel=0.25)
 
 
 def test_makers_are_taken_for_half_as_fast_until_one_has_read():
-    costs = read_costs.ReadCosts()
+    costs = prefill_costs.ReadCosts()
     for unread, total in reads(random.Random(3), 300):
-        found = read_costs.terms(unread, total)
+        found = prefill_costs.terms(unread, total)
         took_s = sum(a * b for a, b in zip(ENGINES[0], found, strict=True))
         costs.note('s', 'prefill', unread, total, took_s)
     reader = costs.expect('s', 'prefill', 17000, 17000)
@@ -55,17 +55,17 @@
 def test_a_change_of_speed_is_learned():
     """All replicas of a service are replaced by ones three times as fast."""
     chance = random.Random(4)
-    costs = read_costs.ReadCosts()
+    costs = prefill_costs.ReadCosts()
     for times in (1.0, 1 / 3):
         for unread, total in reads(chance, 1500):
-            found = read_costs.terms(unread, total)
+            found = prefill_costs.terms(unread, total)
             took_s = sum(a * b for a, b in zip(ENGINES[0], found, strict=True))
             costs.note('s', 'prefill', unread, total, times * took_s)
     cost = costs.expect('s', 'prefill', 17000, 17000)
     real = sum(
         a * b
         for a, b in zip(
-            ENGINES[0], read_costs.terms(17000, 17000), strict=True
+            ENGINES[0], prefill_costs.terms(17000, 17000), strict=True
         )
     )
     assert cost.latency_s + cost.work_s == pytest.approx(real / 3, rel=0.3)
@@ -73,12 +73,12 @@
 
 def test_a_new_process_goes_on_with_what_others_learned():
     """All VMs lost power; their first plans were off by half a second."""
-    old, new = read_costs.ReadCosts(), read_costs.ReadCosts()
+    old, new = prefill_costs.ReadCosts(), prefill_costs.ReadCosts()
     for unread, total in reads(random.Random(5), 300):
-        found = read_costs.terms(unread, total)
+        found = prefill_costs.terms(unread, total)
         took_s = sum(a * b for a, b in zip(ENGINES[0], found, strict=True))
         old.note('s', 'prefill', unread, total, took_s)
-    few = read_costs.Learned('s', 'prefill', 2, (1.0, 1.0, 1.0))
+    few = prefill_costs.Learned('s', 'prefill', 2, (1.0, 1.0, 1.0))
     new.take([*old.told(), few])
     for stage in ('prefill', 'decode'):
         wanted = old.expect('s', stage, 17000, 17000)
--- a/test/gateway/test_repeated_reads.py
+++ b/test/gateway/test_remote_prefill.py
@@ -5,7 +5,7 @@
 import loguru
 import pytest
 
-from gentianstair.gateway import repeats
+from gentianstair.gateway import retry_budget
 from standins import ports
 from standins.site import site as sites
 from test.gateway import gateways
@@ -98,7 +98,7 @@
         arrivals = sum(replica.arrivals for replica in models(site))
         read = set(site.replica('i-reader').reads)
         part = RATIO * requests + ALLOWANCE
-        assert arrivals - len(read) - requests <= repeats.SAFETY * part
+        assert arrivals - len(read) - requests <= retry_budget.SAFETY * part
 
 
 async def test_a_reader_that_is_gone_is_not_asked_each_time(tmp_path):
--- a/test/gateway/test_loads.py
+++ b/test/gateway/test_replica_load.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gentianstair.gateway import loads
+from gentianstair.gateway import replica_load
 
 
 class Clock:
@@ -19,8 +19,10 @@
     found = {}
     for part in parts:
         for name, load in part.items():
-            known = found.get(name, loads.NOTHING)
-            found[name] = loads.Load(*map(sum, zip(known, load, strict=True)))
+            known = found.get(name, replica_load.NOTHING)
+            found[name] = replica_load.Load(
+                *map(sum, zip(known, load, strict=True))
+            )
     return found
 
 
@@ -28,7 +30,7 @@
 def test_sums_are_those_of_a_twin_that_adds_anew(seed):
     """Peers tell, fall silent, and are forgotten, in any order."""
     chance, clock = random.Random(seed), Clock()
-    work = loads.Loads(clock)
+    work = replica_load.Loads(clock)
     told = {}
     for _ in range(300):
         clock.now_s += chance.uniform(0, 0.3)
@@ -38,7 +40,7 @@
             told.pop(peer, None)
         else:
             part = {
-                f'i-{chance.randrange(8)}': loads.Load(
+                f'i-{chance.randrange(8)}': replica_load.Load(
                     chance.randrange(5), chance.randrange(900)
                 )
                 for _ in range(chance.randrange(4))
@@ -46,26 +48,28 @@
             work.tell(peer, part)
             told[peer] = (clock.now_s, part)
         # A silent peer is dropped within a tenth of a second more.
-        clock.now_s += loads.EXPIRE_S
-        oldest_s = clock.now_s - loads.PEER_MEMORY_S
+        clock.now_s += replica_load.EXPIRE_S
+        oldest_s = clock.now_s - replica_load.PEER_MEMORY_S
         told = {n: found for n, found in told.items() if found[0] >= oldest_s}
         parts = {name: part for name, (_, part) in told.items()}
         everything = summed(parts.values())
         for number in range(8):
             name = f'i-{number}'
-            assert work.at(name) == everything.get(name, loads.NOTHING)
+            assert work.at(name) == everything.get(name, replica_load.NOTHING)
         others = summed(p for n, p in parts.items() if n != peer)
-        busy = {n: one for n, one in others.items() if one != loads.NOTHING}
+        busy = {
+            n: one for n, one in others.items() if one != replica_load.NOTHING
+        }
         assert work.without(peer) == busy
 
 
 def test_a_hub_passes_on_its_leaves_and_its_own():
     clock = Clock()
-    work = loads.Loads(clock)
-    work.tell('leaf', {'i-1': loads.Load(2, 100)}, passed_on=True)
-    work.tell('hub', {'i-1': loads.Load(7, 300)})
+    work = replica_load.Loads(clock)
+    work.tell('leaf', {'i-1': replica_load.Load(2, 100)}, passed_on=True)
+    work.tell('hub', {'i-1': replica_load.Load(7, 300)})
     sent = work.begin('i-1', 0.5, 9.0)
-    assert work.part() == {'i-1': loads.Load(3, 600)}
-    assert work.without('leaf') == {'i-1': loads.Load(8, 800)}
+    assert work.part() == {'i-1': replica_load.Load(3, 600)}
+    assert work.without('leaf') == {'i-1': replica_load.Load(8, 800)}
     work.end(sent)
-    assert work.part() == {'i-1': loads.Load(2, 100)}
+    assert work.part() == {'i-1': replica_load.Load(2, 100)}
--- a/test/gateway/test_repeats.py
+++ b/test/gateway/test_retry_budget.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from gentianstair.gateway import repeats
+from gentianstair.gateway import retry_budget
 
-TERMS = repeats.Terms(ratio=0.2, allowance=52, window_s=10.0)
+TERMS = retry_budget.Terms(ratio=0.2, allowance=52, window_s=10.0)
 
 
 class Clock:
@@ -28,7 +28,8 @@
     chance = random.Random(seed)
     clock = Clock()
     fleet = [
-        repeats.Repeats(lambda: TERMS, clock, lambda: vms) for _ in range(vms)
+        retry_budget.Repeats(lambda: TERMS, clock, lambda: vms)
+        for _ in range(vms)
     ]
     first, again = [], []
     while clock.now_s < 1060.0:
@@ -59,7 +60,7 @@
 
     def start():
         return [
-            repeats.Repeats(lambda: TERMS, clock, lambda: vms)
+            retry_budget.Repeats(lambda: TERMS, clock, lambda: vms)
             for _ in range(vms)
         ]
 
@@ -83,7 +84,7 @@
 
 def test_services_do_not_share():
     clock = Clock()
-    one = repeats.Repeats(lambda: TERMS, clock, lambda: 60)
+    one = retry_budget.Repeats(lambda: TERMS, clock, lambda: 60)
     clock.now_s += TERMS.window_s
     assert not one.take('desk')
     for _ in range(20):
--- a/test/gateway/test_duty_protocol.py
+++ b/test/gateway/test_usage_report_protocol.py
@@ -13,9 +13,9 @@
 from gentianstair import errors
 from gentianstair import verdict as verdicts
 from gentianstair.control import lease
-from gentianstair.gateway import duties
+from gentianstair.gateway import leader_tasks
 from gentianstair.gateway import members as memberships
-from gentianstair.gateway import usage
+from gentianstair.gateway import usage_counter
 from standins import chaos
 
 LEASE_S = 3.0
@@ -92,19 +92,19 @@
     async def live(self, name, at_first):
         process = chaos.Process(self.world, name, self.chances)
         store = chaos.ChaosStore(process)
-        counts = usage.Counts(trio.current_time, WINDOW_S)
+        counts = usage_counter.Counts(trio.current_time, WINDOW_S)
         record = memberships.Record(self.name, 'a', '', 0, {})
         members = memberships.Members(
             store, name, record, counts, process.clock, 400
         )
         leases = lease.make_leases(store, name, process.clock, self.terms)
         cloud = Cloud(process, self.name, self.guarded)
-        reporter = duties.UsageReporter(
+        reporter = leader_tasks.UsageReporter(
             store,
             members,
             cloud,
             counts,
-            duties.Terms(WINDOW_S, 10.0),
+            leader_tasks.Terms(WINDOW_S, 10.0),
             trio.current_time,
         )
         async with trio.open_nursery() as nursery:
@@ -114,7 +114,7 @@
             if not at_first:
                 await trio.sleep(self.terms.rest_s)
             nursery.start_soon(
-                leases.run, lambda: {duties.SCOPE: reporter.run}
+                leases.run, lambda: {leader_tasks.SCOPE: reporter.run}
             )
             await trio.sleep(self.world.random.uniform(20, 120))
             raise chaos.KilledError(name)
@@ -133,7 +133,7 @@
 
 async def explore(seed, terms=None, guarded=True, chances=CHANCES):
     """Return the reports of one run, in the order of their arrival."""
-    terms = terms or duties.lease_terms(LEASE_S)
+    terms = terms or leader_tasks.lease_terms(LEASE_S)
     async with trio.open_nursery() as nursery:
         world = chaos.World(seed, nursery)
         for number in range(PROCESSES):
@@ -207,7 +207,7 @@
     """Return what is counted now, as if there were no seals."""
     records = await self._members.records()
     parts = [memberships.counts_of(record) for record in records]
-    return usage.total(parts, window)
+    return usage_counter.total(parts, window)
 
 
 @pytest.mark.parametrize(
@@ -224,7 +224,7 @@
 ):
     """Broken on purpose, the exploration finds the breach."""
     if not sealed:
-        monkeypatch.setattr(duties.UsageReporter, '_sealed', count_anew)
+        monkeypatch.setattr(leader_tasks.UsageReporter, '_sealed', count_anew)
     broken = collections.Counter()
     for seed in range(10):
         broken += check(await explore(seed, guarded=guarded, chances=PAUSED))
