--- a/gentianstair/gateway/autoscaling.py
+++ b/gentianstair/gateway/autoscaling.py
@@ -20,16 +20,16 @@
 SPEND_SHARE = 0.5
 # An order is repeated when its replicas are not there this long after they
 # could have started.
-PATIENCE_S = 4.0
+ORDER_TIMEOUT_S = 4.0
 # Pause before asking again where there were none to be had.
-NONE_LEFT_PAUSE_S = 1.5
+UNAVAILABLE_RETRY_S = 1.5
 
 
 # A replica that has been there for so long keeps the prompts most asked for.
-WARM_S = 6.0
+WARMUP_S = 6.0
 # Dear replicas are let go one by one: each takes along what it keeps of
 # prompts, and those who need that wait until it is read again.
-LET_GO_PAUSE_S = 2.5
+RELEASE_INTERVAL_S = 2.5
 
 
 class Order(typing.NamedTuple):
@@ -41,11 +41,11 @@
     count: int
 
 
-class Wanted(typing.NamedTuple):
+class DesiredCounts(typing.NamedTuple):
     """Counts by failure domain for each kind."""
 
     reclaimable: dict[str, int]
-    steady: dict[str, int]
+    on_demand: dict[str, int]
 
 
 def spread(
@@ -68,13 +68,13 @@
     return counts
 
 
-def reclaimable_total(baseline: int, scaling: catalog.Scaling) -> int:
+def reclaimable_target(baseline: int, scaling: catalog.Scaling) -> int:
     """Return how many cheap replicas to have in all.
 
     >>> prices = {'a': 1.0, 'b': 1.0}
-    >>> reclaimable_total(4, catalog.Scaling(1, 9, 4.0, 0.25, prices))
+    >>> reclaimable_target(4, catalog.Scaling(1, 9, 4.0, 0.25, prices))
     8
-    >>> reclaimable_total(4, catalog.Scaling(1, 9, 4.0, 0.8, prices))
+    >>> reclaimable_target(4, catalog.Scaling(1, 9, 4.0, 0.8, prices))
     4
     """
     price = scaling.reclaimable_price
@@ -83,7 +83,7 @@
     return max(baseline, int(SPEND_SHARE * baseline / price))
 
 
-def count(
+def count_by_domain(
     found: typing.Iterable[replicas.Replica], reclaimable: bool
 ) -> dict[str, int]:
     """Return the replicas of a kind by failure domain."""
@@ -95,12 +95,12 @@
     return counts
 
 
-def decide(
+def desired_counts(
     scaling: catalog.Scaling,
     baseline: int,
     found: typing.Sequence[replicas.Replica],
     warm: typing.Collection[str],
-) -> Wanted:
+) -> DesiredCounts:
     """Return what a service is to have, given what it has.
 
     baseline is how many replicas the operator started with. The dear ones
@@ -109,22 +109,24 @@
     cheapest domains.
     """
     domains = sorted(scaling.prices, key=lambda d: (scaling.prices[d], d))
-    total = reclaimable_total(baseline, scaling)
-    there = count(found, True)
-    have = count(found, False)
+    total = reclaimable_target(baseline, scaling)
+    there = count_by_domain(found, True)
+    have = count_by_domain(found, False)
     cold = baseline - count_warm(found, warm)
-    steady = dict.fromkeys(domains, 0)
+    on_demand = dict.fromkeys(domains, 0)
     for domain in sorted(domains, key=lambda d: -have.get(d, 0)):
-        room = scaling.most - there.get(domain, 0)
-        steady[domain] = max(0, min(cold, have.get(domain, 0), room))
-        cold -= steady[domain]
-    missing = baseline - sum(there.values()) - sum(steady.values())
-    for domain in domains * scaling.most:
-        room = scaling.most - there.get(domain, 0) - steady[domain]
+        room = scaling.max_replicas - there.get(domain, 0)
+        on_demand[domain] = max(0, min(cold, have.get(domain, 0), room))
+        cold -= on_demand[domain]
+    missing = baseline - sum(there.values()) - sum(on_demand.values())
+    for domain in domains * scaling.max_replicas:
+        room = scaling.max_replicas - there.get(domain, 0) - on_demand[domain]
         if missing > 0 and room > 0:
-            steady[domain] += 1
+            on_demand[domain] += 1
             missing -= 1
-    return Wanted(spread(total, domains, scaling.most), steady)
+    return DesiredCounts(
+        spread(total, domains, scaling.max_replicas), on_demand
+    )
 
 
 def count_warm(
@@ -137,7 +139,7 @@
     )
 
 
-class Planner:
+class OrderPlanner:
     """Turns what is wanted into orders, each repeated only when due."""
 
     def __init__(self) -> None:
@@ -150,38 +152,42 @@
         # How many were there at the last look.
         self._had: dict[tuple[str, str, bool], int] = {}
 
-    def warm(
+    def warm_names(
         self, found: typing.Sequence[replicas.Replica], now_s: float
     ) -> set[str]:
-        """Return the names of replicas that have been seen for WARM_S."""
+        """Return the names of replicas that have been seen for WARMUP_S."""
         names = {replica.name for replica in found}
         self._seen_s = {name: self._seen_s.get(name, now_s) for name in names}
-        return {n for n, at_s in self._seen_s.items() if now_s - at_s > WARM_S}
+        return {
+            n for n, at_s in self._seen_s.items() if now_s - at_s > WARMUP_S
+        }
 
-    def due(
+    def due_orders(
         self,
         service: str,
         scaling: catalog.Scaling,
-        wanted: Wanted,
+        wanted: DesiredCounts,
         found: typing.Sequence[replicas.Replica],
         now_s: float,
     ) -> list[Order]:
         """Return the orders to give now, cheap replicas first."""
         orders = []
-        dear = count(found, False)
-        kinds = ((True, wanted.reclaimable), (False, wanted.steady))
+        dear = count_by_domain(found, False)
+        kinds = ((True, wanted.reclaimable), (False, wanted.on_demand))
         for reclaimable, counts in kinds:
-            have = count(found, reclaimable)
+            have = count_by_domain(found, reclaimable)
             for domain, number in counts.items():
                 key = (service, domain, reclaimable)
                 if reclaimable:
                     # The most that a domain may have holds for both kinds.
-                    number = min(number, scaling.most - dear.get(domain, 0))
+                    number = min(
+                        number, scaling.max_replicas - dear.get(domain, 0)
+                    )
                 elif number < have.get(domain, 0):
                     if now_s < self._let_go_s:
                         continue
                     number = have[domain] - 1
-                    self._let_go_s = now_s + LET_GO_PAUSE_S
+                    self._let_go_s = now_s + RELEASE_INTERVAL_S
                 if have.get(domain, 0) < self._had.get(key, 0):
                     # Reclaimed: what was ordered before them has come.
                     self._until_s.pop(key, None)
@@ -193,15 +199,15 @@
                 orders.append(Order(service, domain, reclaimable, number))
         return orders
 
-    def ordered(
+    def record_accepted(
         self, order: Order, scaling: catalog.Scaling, now_s: float
     ) -> None:
         """Note an order that was accepted."""
-        self._note(order, now_s + scaling.boot_s + PATIENCE_S)
+        self._note(order, now_s + scaling.boot_s + ORDER_TIMEOUT_S)
 
-    def none_left(self, order: Order, now_s: float) -> None:
+    def record_unavailable(self, order: Order, now_s: float) -> None:
         """Note that there were none to be had."""
-        self._note(order, now_s + NONE_LEFT_PAUSE_S)
+        self._note(order, now_s + UNAVAILABLE_RETRY_S)
 
     def _note(self, order: Order, until_s: float) -> None:
         key = (order.service, order.failure_domain, order.reclaimable)
--- a/gentianstair/gateway/cache_news.py
+++ b/gentianstair/gateway/cache_news.py
@@ -36,7 +36,7 @@
 class CacheNews:
     """Changes of the replicas' caches, and who is still to be told."""
 
-    def __init__(self, cache: prefix_index.PrefixCache) -> None:
+    def __init__(self, cache: prefix_index.PrefixIndex) -> None:
         self._cache = cache
         self._numbers: dict[str, dict[str, int]] = {}
         # Heard from replicas by this VM and its leaves, for the other hubs.
@@ -53,7 +53,7 @@
         numbers = self._numbers.setdefault(change.replica, {})
         if numbers.get(change.part, -1) >= change.number:
             return
-        self._cache.set(change.replica, change.part, change.tokens)
+        self._cache.update(change.replica, change.part, change.tokens)
         key = (change.replica, change.part)
         if change.tokens < LEAST_TOKENS and key not in self.known:
             return
--- a/gentianstair/gateway/cache_watch.py
+++ b/gentianstair/gateway/cache_watch.py
@@ -36,13 +36,13 @@
 
 async def run(node: nodes.Node) -> None:
     """Follow the caches that this VM is to follow, until cancelled."""
-    await node.registry.known.wait()
+    await node.registry.loaded.wait()
     following: dict[_Start, trio.CancelScope] = {}
     async with trio.open_nursery() as nursery:
         known: set[_Start] = set()
         while True:
             there = {
-                _Start(replica.name, replica.born_ms): replica
+                _Start(replica.name, replica.started_ms): replica
                 for replica in node.registry.all()
                 if replica.stage
             }
--- a/gentianstair/gateway/catalog.py
+++ b/gentianstair/gateway/catalog.py
@@ -26,7 +26,7 @@
     # The time to the answer, or to a stream's first event, that earns all.
     objective_s: float
     # The longest pause between a stream's events that is still on time.
-    pause_s: float
+    max_pause_s: float
     # 0 is the most urgent.
     priority: int
     # Services and their weights.
@@ -35,7 +35,7 @@
     # Needs no key.
     public: bool
     # Carries prompts whose shared parts are worth a known replica.
-    prompts: bool
+    shares_prompts: bool
     resumable: bool
 
     @property
@@ -53,18 +53,18 @@
     kv_tokens: int
     kv_token_bytes: int
     link_mbps: float
-    handle_s: float
+    kv_hold_s: float
     stage_change_s: float
     models: tuple[str, ...]
     # Calls for changes of its cache that a replica keeps waiting.
-    cache_calls: int = 12
+    max_cache_calls: int = 12
 
 
 class Scaling(typing.NamedTuple):
     """How many replicas of a service may be ordered in a failure domain."""
 
-    least: int
-    most: int
+    min_replicas: int
+    max_replicas: int
     boot_s: float
     # The price of a replica that may be reclaimed, over that of another.
     reclaimable_price: float
@@ -111,7 +111,7 @@
     # By key.
     customers: dict[str, Customer]
     # Whether keys are asked for at all.
-    keyed: bool
+    requires_keys: bool
     limits: Limits
     raw: dict[str, typing.Any]
 
--- a/gentianstair/gateway/fleet.py
+++ b/gentianstair/gateway/fleet.py
@@ -35,7 +35,7 @@
         self._node = node
         self._cloud = cloud
         self._touch = touch
-        self._planner = autoscaling.Planner()
+        self._planner = autoscaling.OrderPlanner()
         self._baselines: dict[str, int] = {}
 
     async def run(self, authority: lease.Authority) -> None:
@@ -69,9 +69,11 @@
         baseline = await self._baseline(service.name, len(there))
         if not baseline:
             return
-        warm = self._planner.warm(there, now_s)
-        wanted = autoscaling.decide(scaling, baseline, there, warm)
-        due = self._planner.due(service.name, scaling, wanted, there, now_s)
+        warm = self._planner.warm_names(there, now_s)
+        wanted = autoscaling.desired_counts(scaling, baseline, there, warm)
+        due = self._planner.due_orders(
+            service.name, scaling, wanted, there, now_s
+        )
         for order in due:
             try:
                 await self._cloud.order_replicas(
@@ -82,10 +84,10 @@
                     order.reclaimable,
                 )
             except errors.TurnedAwayError as error:
-                self._planner.none_left(order, now_s)
+                self._planner.record_unavailable(order, now_s)
                 _tell(events.NONE_TO_BE_HAD, order, str(error))
                 continue
-            self._planner.ordered(order, scaling, now_s)
+            self._planner.record_accepted(order, scaling, now_s)
             _tell(events.REPLICAS_ORDERED, order, 'accepted')
 
     async def _baseline(self, service: str, there: int) -> int:
--- a/gentianstair/gateway/following.py
+++ b/gentianstair/gateway/following.py
@@ -125,7 +125,7 @@
         back has let none of the living lapse; only this VM was cut off.
         """
         from_s = since_s + OTHERS_MARGIN_S
-        until_s = self._clock() - replicas.RETURN_S
+        until_s = self._clock() - replicas.REREGISTER_S
         return not any(from_s <= at_s <= until_s for at_s in self._others_s)
 
     def failed(self, error: errors.StoreError, is_urgent: bool) -> None:
--- a/gentianstair/gateway/handler.py
+++ b/gentianstair/gateway/handler.py
@@ -134,7 +134,7 @@
         prompt = task.call.prompt
         return {
             'objective_s': task.route.objective_s,
-            'pause_s': task.route.pause_s,
+            'pause_s': task.route.max_pause_s,
             'longest_pause_s': round(task.longest_pause_s, 3),
             'prompt_tokens': prompt.tokens if prompt else 0,
         }
@@ -213,7 +213,7 @@
             raise errors.RequestError(404, 'no-route', 'no such route')
         customer = self._customer(found, route, call)
         task = self._task = self._make_task(call, body, route, customer)
-        node.repeats.request(task.service)
+        node.repeats.record_request(task.service)
         await self._until_gone(task, found.services.get(task.service))
 
     async def _catalog(self, call: calls.Call) -> catalog.Catalog | None:
@@ -234,7 +234,7 @@
         self, found: catalog.Catalog, route: catalog.Route, call: calls.Call
     ) -> catalog.Customer | None:
         customer = found.customers.get(call.key) if call.key else None
-        if customer is None and found.keyed and not route.public:
+        if customer is None and found.requires_keys and not route.public:
             raise errors.RequestError(401, 'unknown-key', 'unknown key')
         return customer
 
--- a/gentianstair/gateway/hub_link.py
+++ b/gentianstair/gateway/hub_link.py
@@ -27,8 +27,8 @@
         node = self._node
         self._leaf = told['process']
         node.roster.leaves[self._leaf] = self
-        node.work.tell(
-            self._leaf, replica_load.decode(told['loads']), passed_on=True
+        node.work.update_peer(
+            self._leaf, replica_load.decode(told['loads']), from_leaf=True
         )
         node.cache_news.take(told.get('cache', ()), passed_on=True)
         return self._news(told['config_version'])
@@ -38,7 +38,7 @@
         leaves = self._node.roster.leaves
         if leaves.get(self._leaf) is self:
             del leaves[self._leaf]
-            self._node.work.forget(self._leaf)
+            self._node.work.remove_peer(self._leaf)
 
     def _news(self, known_version: int) -> messages.GatewayFeed:
         node = self._node
@@ -50,7 +50,7 @@
             'type': 'feed',
             'process': node.roster.process,
             'age_ms': int(self._touch.told_age_s * 1000),
-            'loads': replica_load.encode(node.work.without(self._leaf)),
+            'loads': replica_load.encode(node.work.excluding(self._leaf)),
             'cache': [list(change) for _, change in cache],
             'replicas': replicas,
             'gone': gone,
@@ -68,7 +68,7 @@
         """Return replicas that are new to the leaf, those gone, and if all."""
         registry = self._node.registry
         since = self._replicas_at
-        if not registry.known.is_set():
+        if not registry.loaded.is_set():
             return [], [], False
         self._replicas_at = registry.changes.position
         if since is None:
--- a/gentianstair/gateway/leader_tasks.py
+++ b/gentianstair/gateway/leader_tasks.py
@@ -22,20 +22,20 @@
 SCOPE = 'duties'
 SEAL_KIND = 'usage-seal'
 PURPOSE = 'usage'
-LOOK_S = 0.5
+POLL_S = 0.5
 # Share of the time allowed for a report after which the figures are sealed.
 # Before it, processes that could not reach the store for some seconds still
 # add their counts; after it, a new holder still has time to report.
-SEAL_AT = 0.5
+SEAL_SHARE = 0.5
 # How long after a beat was due its counts are there, with a margin.
-WRITTEN_S = 1.0
+COUNTS_WRITTEN_S = 1.0
 # Left of the time allowed for sealing and reporting.
-REPORT_S = 2.5
+REPORT_RESERVE_S = 2.5
 KEPT_SEALS = 8
 REST_MARGIN_S = 0.5
 
 
-class Terms(typing.NamedTuple):
+class ReportTiming(typing.NamedTuple):
     """How long usage windows are, and when reports are due."""
 
     window_s: float
@@ -50,8 +50,8 @@
         store: stores.Store,
         members: memberships.Members,
         cloud: clouds.Cloud,
-        counts: usage_counter.Counts,
-        terms: Terms,
+        counts: usage_counter.UsageCounter,
+        terms: ReportTiming,
         wall: typing.Callable[[], float],
     ) -> None:
         self._store = store
@@ -62,12 +62,12 @@
         self._wall = wall
         # Windows from the one in which this process started are its duty;
         # earlier ones have been reported by another.
-        self._next = counts.now()
+        self._next = counts.current_window()
 
     async def run(self, authority: lease.Authority) -> None:
         """Report windows as they become due, while authority stands."""
         late = int(self._terms.late_s // self._terms.window_s) + 1
-        self._next = max(self._next, self._counts.now() - late)
+        self._next = max(self._next, self._counts.current_window() - late)
         while True:
             authority.check()
             try:
@@ -76,7 +76,7 @@
                 loguru.logger.bind(
                     event=events.REPORT_FAILED, window=self._next
                 ).warning('a usage report failed: {}', error)
-            await trio.sleep(LOOK_S)
+            await trio.sleep(POLL_S)
 
     def _due_s(self, window: int) -> float:
         """Return when a window is sealed.
@@ -85,10 +85,10 @@
         last ones of the window must be there.
         """
         end_s = (window + 1) * self._terms.window_s
-        written_s = self._members.beat_s + WRITTEN_S
-        latest_s = self._terms.late_s - REPORT_S
+        written_s = self._members.beat_s + COUNTS_WRITTEN_S
+        latest_s = self._terms.late_s - REPORT_RESERVE_S
         return end_s + max(
-            SEAL_AT * self._terms.late_s, min(written_s, latest_s)
+            SEAL_SHARE * self._terms.late_s, min(written_s, latest_s)
         )
 
     async def _report_due(self, authority: lease.Authority) -> None:
@@ -112,7 +112,7 @@
             return found
         records = await self._members.records()
         parts = [memberships.counts_of(record) for record in records]
-        counts = usage_counter.total(parts, window)
+        counts = usage_counter.window_total(parts, window)
         value = {'counts': counts, 'nonce': settled.new_nonce()}
         try:
             await settled.put(
@@ -155,7 +155,7 @@
     )
 
 
-def watch_s(lease_s: float) -> float:
+def takeover_delay_s(lease_s: float) -> float:
     """Return how long a new process rests and then watches a lease."""
     terms = lease_terms(lease_s)
     return terms.rest_s + terms.duration_s + terms.margin_s
--- a/gentianstair/gateway/leaf_link.py
+++ b/gentianstair/gateway/leaf_link.py
@@ -123,11 +123,11 @@
                 await trio.sleep(ASK_S)
             return ''
         finally:
-            node.work.forget(process)
+            node.work.remove_peer(process)
 
     def _word(self, told_at: int) -> messages.GatewayLoad:
         node = self._node
-        return load_message(node, node.work.own(), told_at, leaf=True)
+        return load_message(node, node.work.local(), told_at, leaf=True)
 
     async def _hear(
         self, channel: link.Channel
@@ -149,7 +149,9 @@
         if 'config' in feed:
             knowledge.take_config(feed['config'])
         age_s = feed['age_ms'] / 1000
-        node.work.tell(feed['process'], replica_load.decode(feed['loads']))
+        node.work.update_peer(
+            feed['process'], replica_load.decode(feed['loads'])
+        )
         node.cache_news.take(feed['cache'], passed_on=False)
         if age_s <= max(OLD_S, knowledge.touch.age_s):
             self._take_replicas(feed)
--- a/gentianstair/gateway/links.py
+++ b/gentianstair/gateway/links.py
@@ -132,7 +132,7 @@
         while True:
             news = node.cache_news.mine
             message = leaf_link.load_message(
-                node, node.work.part(), told_at, leaf=False
+                node, node.work.subtree(), told_at, leaf=False
             )
             told_at = news.position
             await _send(channel, message)
@@ -140,7 +140,7 @@
             pause_s = TELL_S * max(1.0, crowd)
             await trio.sleep(pause_s * LEAST_PAUSE_SHARE)
             with trio.move_on_after(pause_s * (1 - LEAST_PAUSE_SHARE)):
-                await node.work.wait_long()
+                await node.work.wait_long_prefill()
 
     async def _accept(self, channel: link.Channel) -> None:
         """Serve a link that a peer opened."""
@@ -193,7 +193,7 @@
 
     def _take_load(self, message: messages.GatewayLoad) -> None:
         found = replica_load.decode(message['loads'])
-        self._node.work.tell(message['process'], found)
+        self._node.work.update_peer(message['process'], found)
         self._node.cache_news.take(message.get('cache', ()), passed_on=False)
         self._heard.add(message['address'])
         self._newest_version = max(
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -90,7 +90,7 @@
     store = objects.connect(found.store_address, found.vm)
     bounds = found.bounds
     wall = steady_wall.SteadyWall(time.time, now)
-    counts = usage_counter.Counts(wall, bounds.usage_window_s)
+    counts = usage_counter.UsageCounter(wall, bounds.usage_window_s)
     name = f'{found.vm}.{settled.new_nonce()}'
     record = memberships.Record(
         vm=found.vm,
@@ -100,7 +100,7 @@
         windows={},
         cores=found.cores,
     )
-    costs = prefill_costs.ReadCosts()
+    costs = prefill_costs.PrefillCosts()
     members = memberships.Members(
         store, name, record, counts, now, found.store_writes_per_s, costs
     )
@@ -115,16 +115,16 @@
         members,
         platform,
         counts,
-        leader_tasks.Terms(bounds.usage_window_s, bounds.usage_late_s),
+        leader_tasks.ReportTiming(bounds.usage_window_s, bounds.usage_late_s),
         wall,
     )
     fleet = fleets.Fleet(node, platform, touch)
     return Process(node, members, leases, reporter, fleet, touch)
 
 
-def _repeat_terms(live: deployment.Live) -> retry_budget.Terms:
+def _repeat_terms(live: deployment.Live) -> retry_budget.Limits:
     bounds = live.value.bounds
-    return retry_budget.Terms(
+    return retry_budget.Limits(
         bounds.repeat_ratio,
         bounds.repeat_allowance,
         bounds.repeat_window_s,
@@ -134,15 +134,15 @@
 def _make_node(
     live: deployment.Live,
     store: objects.ObjectStore,
-    counts: usage_counter.Counts,
+    counts: usage_counter.UsageCounter,
     members: memberships.Members,
-    costs: prefill_costs.ReadCosts,
+    costs: prefill_costs.PrefillCosts,
     nursery: trio.Nursery,
 ) -> nodes.Node:
     now = clock.boottime_s
     found = live.value
-    work = replica_load.Loads(now)
-    cache = prefix_index.PrefixCache()
+    work = replica_load.LoadTracker(now)
+    cache = prefix_index.PrefixIndex()
     registry = replicas.Registry(now)
     own = hubs.Vm(
         found.vm, found.failure_domain, found.peer_address, found.cores
@@ -166,7 +166,7 @@
             costs,
             random.Random(found.vm),
         ),
-        repeats=retry_budget.Repeats(
+        repeats=retry_budget.RetryBudget(
             functools.partial(_repeat_terms, live),
             now,
             roster.count,
@@ -184,13 +184,13 @@
 
 def _take_catalog(node: nodes.Node, found: catalog.Catalog) -> None:
     if node.force.take(found):
-        node.registry.cache_calls = min(
+        node.registry.max_cache_calls = min(
             (
-                s.engine.cache_calls
+                s.engine.max_cache_calls
                 for s in found.services.values()
                 if s.engine
             ),
-            default=replicas.CACHE_CALLS,
+            default=replicas.DEFAULT_CACHE_CALLS,
         )
         loguru.logger.bind(event=events.CONFIG, version=found.version).info(
             'configuration {} is in force', found.version
@@ -282,10 +282,10 @@
         nursery.start_soon(process.leases.run, scopes_here)
         while True:
             process.leases.candidates = process.members.candidates(
-                leader_tasks.watch_s(found.bounds.lease_s),
+                leader_tasks.takeover_delay_s(found.bounds.lease_s),
                 {hub.name for hub in roster.hubs()},
             )
-            await trio.sleep(leader_tasks.LOOK_S)
+            await trio.sleep(leader_tasks.POLL_S)
 
 
 def answered_s(grace_s: float) -> float:
@@ -332,14 +332,18 @@
         node = process.node
         reloader = reload.Reloader(file, live, settings.read)
         nursery.start_soon(reloader.run)
-        apps = [(monitoring.make_app(node), ready_sock)]
+        apps = [(monitoring.make_readiness_app(node), ready_sock)]
         if own.metrics_port is not None:
             sock = serving.listen(f'{found.ip}:{own.metrics_port}')
             apps.append((monitoring.make_metrics_app(), sock))
         for app, sock in apps:
             nursery.start_soon(
                 functools.partial(
-                    serving.serve, app, sock, monitoring.never, READY_GRACE_S
+                    serving.serve,
+                    app,
+                    sock,
+                    monitoring.serve_until_cancelled,
+                    READY_GRACE_S,
                 )
             )
         for work in _background(process):
--- a/gentianstair/gateway/members.py
+++ b/gentianstair/gateway/members.py
@@ -55,7 +55,7 @@
     # The VM's share of a core times the core's speed.
     cores: float = 0.0
     # What it learned of the cost of reads.
-    costs: list[prefill_costs.Learned] = []
+    costs: list[prefill_costs.FittedCosts] = []
 
 
 class Member(typing.NamedTuple):
@@ -89,10 +89,10 @@
         store: stores.Store,
         name: str,
         record: Record,
-        counts: usage_counter.Counts,
+        counts: usage_counter.UsageCounter,
         clock: clocks.Clock,
         writes_per_s: float,
-        costs: prefill_costs.ReadCosts | None = None,
+        costs: prefill_costs.PrefillCosts | None = None,
     ) -> None:
         self._store = store
         self._name = name
@@ -100,7 +100,7 @@
         self._counts = counts
         self._clock = clock
         self._writes_per_s = writes_per_s
-        self._costs = costs or prefill_costs.ReadCosts()
+        self._costs = costs or prefill_costs.PrefillCosts()
         self._version = 0
         self._seen: dict[str, Member] = {}
         # When the store last said who is there.
@@ -178,7 +178,7 @@
             str(window): found
             for window, found in self._counts.windows().items()
         }
-        self._record.costs = self._costs.told()
+        self._record.costs = self._costs.export()
         try:
             self._version = await self._store.put(
                 KIND,
@@ -240,7 +240,7 @@
         if not self._seen:
             # A process that starts anew goes on with what others learned.
             others = [m for m in found if m.name != self._name]
-            self._costs.take(c for m in others for c in m.record.costs)
+            self._costs.seed(c for m in others for c in m.record.costs)
         self._seen = {member.name: member for member in found}
         self._looked_s = self._clock()
 
--- a/gentianstair/gateway/monitoring.py
+++ b/gentianstair/gateway/monitoring.py
@@ -27,7 +27,7 @@
     await exchange.answer(404, TEXT, b'no such path\n')
 
 
-def make_app(node: nodes.Node) -> asgi.App:
+def make_readiness_app(node: nodes.Node) -> asgi.App:
     """Return the application of the address that the balancer asks."""
 
     async def serve(exchange: exchanges.Exchange) -> None:
@@ -60,6 +60,6 @@
     return asgi.make_app(serve)
 
 
-async def never() -> None:
+async def serve_until_cancelled() -> None:
     """Serve until cancelled: the balancer asks to the very end."""
     await trio.sleep_forever()
--- a/gentianstair/gateway/node.py
+++ b/gentianstair/gateway/node.py
@@ -47,17 +47,17 @@
     started_s: float
     force: Force
     registry: replicas.Registry
-    work: replica_load.Loads
-    cache: prefix_index.PrefixCache
+    work: replica_load.LoadTracker
+    cache: prefix_index.PrefixIndex
     cache_news: cache_news.CacheNews
     roster: roster.Roster
-    read_costs: prefill_costs.ReadCosts
+    read_costs: prefill_costs.PrefillCosts
     placement: placement.Placement
-    repeats: retry_budget.Repeats
+    repeats: retry_budget.RetryBudget
     ejector: ejection.Ejector
     transport: transports.Transport
     store: stores.Store
-    usage: usage_counter.Counts
+    usage: usage_counter.UsageCounter
     # Set at a planned stop: answers close their connections.
     leaving: trio.Event
     grace: grace.Grace
@@ -66,12 +66,12 @@
 
     def is_informed(self) -> bool:
         """Return whether configuration and replicas have been read."""
-        return self.force.known.is_set() and self.registry.known.is_set()
+        return self.force.known.is_set() and self.registry.loaded.is_set()
 
     async def wait_informed(self) -> None:
         """Return when configuration and replicas have been read."""
         await self.force.known.wait()
-        await self.registry.known.wait()
+        await self.registry.loaded.wait()
 
     @property
     def deployment(self) -> deployment.Deployment:
--- a/gentianstair/gateway/placement.py
+++ b/gentianstair/gateway/placement.py
@@ -1,10 +1,11 @@
-"""Choose the replicas of a request by what it costs to serve it there.
-
-Plain calls go to the replica with the least work. A prompt is read where its
-shared parts lie in memory, unless the wait there is longer than reading them
-anew elsewhere; it is read either by a replica that only reads, and its KV
-cache then moved, or by the replica that makes the output. Whoever reads it
-first copies what another replica keeps of it, where that is sooner.
+"""Choose replicas by the estimated cost of serving a request there.
+
+Plain calls go to the least loaded replica. A prompt goes to a replica that
+holds its prefix in the KV cache, unless waiting there takes longer than
+computing the prefix elsewhere. Either a prefill replica computes the prompt
+and its KV cache is transferred to a decode replica, or the decode replica
+does both. The replica that runs the prefill first copies cached prefix parts
+from another replica where that saves time.
 """
 
 import random
@@ -17,306 +18,334 @@
 from gentianstair.gateway import replica_load
 from gentianstair.gateway import replicas
 
-# What a move of KV costs besides its bytes, in seconds: setting it up and
-# one more exchange with a replica.
-MOVE_SETUP_S = 0.015
-# Seconds of waiting that are as bad as sending a byte to another failure
-# domain: bytes between domains are dear, and a request of 17 KB sent across
-# costs about as much as 80 ms more wait for it and for those behind it.
-FAR_S_PER_BYTE = 0.08 / 17000
-# A replica that makes output serves each stream more slowly the more there
-# are, by some hundredth of a second until its slots are full.
-RUNNING_S = 0.01
-FULL_S = 0.25
-# A prompt that is read beside running streams slows each of them for as long
-# as the read takes; this share of it counts against the choice.
-INTERFERENCE = 0.01
-# Where there are many replicas a choice compares those that keep parts of
-# the prompt and so many others of each stage, drawn by chance: about as good
-# as all of them, and VMs that know the same do not all choose the same.
-DRAWN = 12
-# Differences below this are decided by chance, so that VMs which know the
-# same do not all choose the same replica.
-TIE_S = 0.004
-# Parts that another replica keeps are copied from its memory if that saves so
-# much time. A copy is priced, and what is believed of memories is not sure.
-LEAST_COPY_GAIN_S = 0.03
-# Moves between failure domains take so many times as long.
-FAR_MOVE_TIMES = 2.0
-
-
-class Copy(typing.NamedTuple):
-    """Parts of a prompt that are copied between replicas' memories."""
-
-    # None if nothing is worth copying.
+# Fixed cost of a KV cache transfer: its setup and one more round trip.
+TRANSFER_SETUP_S = 0.015
+# Cost of sending a request body to another failure domain, in seconds of
+# waiting per byte: 17 KB across domains weigh as much as 80 ms.
+CROSS_DOMAIN_S_PER_BYTE = 0.08 / 17000
+# Cost of each stream already running at a decode replica.
+STREAM_COST_S = 0.01
+# Additional cost of each stream above 90 % of the replica's slots.
+OVERLOAD_COST_S = 0.25
+# Share of a prefill's duration by which it slows each stream on its replica.
+INTERFERENCE_SHARE = 0.01
+# In a large fleet, at most this many replicas of each stage are compared
+# besides those that hold a part of the prompt. The random sample bounds the
+# work per request and spreads requests of different VMs.
+SAMPLE_SIZE = 12
+# Random jitter on each cost: VMs with the same view choose different
+# replicas.
+TIE_BREAK_S = 0.004
+# A KV copy must save at least this much time, as the index of cached parts
+# may be out of date.
+MIN_COPY_GAIN_S = 0.03
+# Transfers between failure domains take this many times as long.
+CROSS_DOMAIN_TRANSFER_FACTOR = 2.0
+
+
+class KvCopy(typing.NamedTuple):
+    """A copy of cached prompt parts from one replica to another."""
+
+    # The source, or None if nothing is copied.
     address: str | None
     tokens: int
-    takes_s: float
+    duration_s: float
 
 
-NO_COPY = Copy(None, 0, 0.0)
+NO_KV_COPY = KvCopy(None, 0, 0.0)
 
 
 class Plan(typing.NamedTuple):
-    """Where a prompt is read and its output made."""
-
-    maker: replicas.Replica
-    # None if the maker reads the prompt itself.
-    reader: replicas.Replica | None
-    # Left to read once the copy has been made.
-    unread_tokens: int
-    # To whoever reads.
-    copy: Copy
-    # What is queued before the read, and for how long the read itself keeps
-    # its replica busy.
+    """The replicas that serve a prompt, and the expected times."""
+
+    decode_replica: replicas.Replica
+    # None if the decode replica runs the prefill itself.
+    prefill_replica: replicas.Replica | None
+    # Tokens left to compute after the copy.
+    uncached_tokens: int
+    # To the replica that runs the prefill.
+    copy: KvCopy
+    # Work queued at the prefill's replica ahead of it.
     queued_s: float
+    # How long the prefill occupies its replica.
     work_s: float
-    # How much longer it takes if nothing of the prompt is kept or copied.
-    more_s: float
-    # Time to the end of the read, and to the first event.
-    read_s: float
-    expected_s: float
+    # How much longer the prefill takes if no part is cached or copied.
+    miss_penalty_s: float
+    # Time from now to the end of the prefill.
+    prefill_end_s: float
+    # Time from now to the first event of the stream.
+    first_event_s: float
 
 
 class _Candidate(typing.NamedTuple):
+    # Plan describes the fields that both have.
     replica: replicas.Replica
-    unread_tokens: int
-    copy: Copy
+    uncached_tokens: int
+    copy: KvCopy
     queued_s: float
     work_s: float
-    more_s: float
-    # Time to the end of the read, and what it costs besides.
-    read_s: float
-    cost_s: float
+    miss_penalty_s: float
+    prefill_end_s: float
+    # Cost of sending the request body there.
+    network_cost_s: float
 
 
-class _Need(typing.NamedTuple):
-    """What one choice is about."""
+class _StreamRequest(typing.NamedTuple):
+    """The request that replicas are compared for."""
 
     engine: catalog.Engine
     prompt: calls.Prompt
     body_bytes: int
-    # The replica of each failure domain that keeps the most of the prompt,
-    # with the tokens that it lacks.
-    sources: list[tuple[replicas.Replica, int]]
+    # In each failure domain the replica that holds most of the prompt, with
+    # the number of tokens it lacks.
+    copy_sources: list[tuple[replicas.Replica, int]]
 
 
 class Placement:
-    """Choose replicas from what this VM knows of them."""
+    """Choose replicas by the load and the cached prefixes known here."""
 
     def __init__(
         self,
         failure_domain: str,
-        work: replica_load.Loads,
-        cache: prefix_index.PrefixCache,
-        costs: prefill_costs.ReadCosts,
-        chance: random.Random,
+        work: replica_load.LoadTracker,
+        cache: prefix_index.PrefixIndex,
+        costs: prefill_costs.PrefillCosts,
+        rng: random.Random,
     ) -> None:
         self._failure_domain = failure_domain
-        self._work = work
-        self._cache = cache
+        self._load = work
+        self._index = cache
         self._costs = costs
-        self._random = chance
+        self._random = rng
 
-    def plain(self, found: list[replicas.Replica]) -> replicas.Replica | None:
-        """Return the replica of a plain service with the least work."""
+    def choose_plain(
+        self, candidates: list[replicas.Replica]
+    ) -> replicas.Replica | None:
+        """Return the least loaded replica of a plain service."""
         best = None
-        for replica in found:
-            running = self._work.at(replica.name).running
-            near = replica.failure_domain == self._failure_domain
-            share = (running + (0 if near else 0.5)) / max(1, replica.slots)
-            rank = (share, self._random.random())
+        for replica in candidates:
+            running = self._load.load_of(replica.name).running
+            is_local = replica.failure_domain == self._failure_domain
+            used = (running + (0 if is_local else 0.5)) / max(1, replica.slots)
+            rank = (used, self._random.random())
             if best is None or rank < best[0]:
                 best = (rank, replica)
         return best[1] if best else None
 
-    def stream(
+    def plan_stream(
         self,
-        found: list[replicas.Replica],
+        candidates: list[replicas.Replica],
         prompt: calls.Prompt,
         engine: catalog.Engine,
         body_bytes: int,
-        keepers: typing.Sequence[replicas.Replica] = (),
+        copy_sources: typing.Sequence[replicas.Replica] = (),
     ) -> Plan | None:
-        """Return where to read a prompt and make its output.
+        """Return the cheapest plan for a prompt, None if none can decode.
 
-        keepers are the replicas from whose memory parts may be copied; one
-        that is leaving is among them, for what it keeps goes with it.
+        Cached parts may be copied from copy_sources. Draining replicas may
+        be among these: their KV cache is lost when they stop.
         """
-        sources = self._sources(keepers, prompt)
-        need = _Need(engine, prompt, body_bytes, sources)
-        found = self._draw(found, prompt)
-        makers = [r for r in found if r.stage != prefill_costs.READS]
-        readers = [r for r in found if r.stage == prefill_costs.READS]
-        if not makers:
+        sources = self._best_sources(copy_sources, prompt)
+        request = _StreamRequest(engine, prompt, body_bytes, sources)
+        candidates = self._sample(candidates, prompt)
+        decoders = [r for r in candidates if r.stage != prefill_costs.PREFILL]
+        prefillers = [
+            r for r in candidates if r.stage == prefill_costs.PREFILL
+        ]
+        if not decoders:
             return None
-        direct = [self._reading(r, need) for r in makers]
-        pressed = {c.replica.name: self._pressure_s(c.replica) for c in direct}
+        direct = [self._candidate(r, request) for r in decoders]
+        decode_cost_s = {
+            c.replica.name: self._decode_cost_s(c.replica) for c in direct
+        }
         options = [_plan(c, c, 0.0) for c in direct]
         costs = [
-            c.read_s
-            + c.cost_s
-            + pressed[c.replica.name]
+            c.prefill_end_s
+            + c.network_cost_s
+            + decode_cost_s[c.replica.name]
             + self._interference_s(c)
             for c in direct
         ]
-        if readers:
-            moved_s = MOVE_SETUP_S + move_s(prompt.tokens, engine)
-            read = self._least([self._reading(r, need) for r in readers])
-            maker = min(
-                direct, key=lambda c: pressed[c.replica.name] + c.cost_s
+        if prefillers:
+            kv_transfer_s = TRANSFER_SETUP_S + transfer_s(
+                prompt.tokens, engine
+            )
+            prefill = self._cheapest(
+                [self._candidate(r, request) for r in prefillers]
             )
-            options.append(_plan(maker, read, moved_s))
+            decode = min(
+                direct,
+                key=lambda c: decode_cost_s[c.replica.name] + c.network_cost_s,
+            )
+            options.append(_plan(decode, prefill, kv_transfer_s))
             costs.append(
-                read.read_s
-                + read.cost_s
-                + moved_s
-                + maker.cost_s
-                + pressed[maker.replica.name]
+                prefill.prefill_end_s
+                + prefill.network_cost_s
+                + kv_transfer_s
+                + decode.network_cost_s
+                + decode_cost_s[decode.replica.name]
             )
-        ties = [self._random.uniform(0, TIE_S) for _ in costs]
-        ranked = [cost + tie for cost, tie in zip(costs, ties, strict=True)]
+        jitter = [self._random.uniform(0, TIE_BREAK_S) for _ in costs]
+        ranked = [cost + tie for cost, tie in zip(costs, jitter, strict=True)]
         return options[ranked.index(min(ranked))]
 
-    def _draw(
-        self, found: list[replicas.Replica], prompt: calls.Prompt
+    def _sample(
+        self, candidates: list[replicas.Replica], prompt: calls.Prompt
     ) -> list[replicas.Replica]:
         """Return the replicas to compare."""
-        if len(found) <= 2 * DRAWN:
-            return found
-        holders = self._cache.holders(prompt)
-        drawn = [replica for replica in found if replica.name in holders]
-        rest = [replica for replica in found if replica.name not in holders]
+        if len(candidates) <= 2 * SAMPLE_SIZE:
+            return candidates
+        holders = self._index.holders(prompt)
+        kept = [replica for replica in candidates if replica.name in holders]
+        rest = [
+            replica for replica in candidates if replica.name not in holders
+        ]
         self._random.shuffle(rest)
-        readers = [r for r in rest if r.stage == prefill_costs.READS]
-        makers = [r for r in rest if r.stage != prefill_costs.READS]
-        return drawn + readers[:DRAWN] + makers[:DRAWN]
+        prefillers = [r for r in rest if r.stage == prefill_costs.PREFILL]
+        decoders = [r for r in rest if r.stage != prefill_costs.PREFILL]
+        return kept + prefillers[:SAMPLE_SIZE] + decoders[:SAMPLE_SIZE]
 
-    def _sources(
+    def _best_sources(
         self,
-        keepers: typing.Iterable[replicas.Replica],
+        copy_sources: typing.Iterable[replicas.Replica],
         prompt: calls.Prompt,
     ) -> list[tuple[replicas.Replica, int]]:
-        """Return the replica of each failure domain with the least to read.
+        """Return the best copy source in each failure domain.
 
-        What is only being read by now can't be copied: a replica that was
-        sent there would read it all itself.
+        Each comes with the number of tokens that it lacks. Only parts whose
+        prefill has ended count, as others can't be copied yet.
         """
-        holders = self._cache.holders(prompt)
+        holders = self._index.holders(prompt)
         best: dict[str, tuple[replicas.Replica, int]] = {}
-        for replica in keepers:
+        for replica in copy_sources:
             if replica.name not in holders:
                 continue
-            unread = self._cache.unread_tokens(replica.name, prompt, sure=True)
+            uncached = self._index.uncached_tokens(
+                replica.name, prompt, confirmed=True
+            )
             known = best.get(replica.failure_domain)
-            if known is None or unread < known[1]:
-                best[replica.failure_domain] = (replica, unread)
+            if known is None or uncached < known[1]:
+                best[replica.failure_domain] = (replica, uncached)
         return list(best.values())
 
-    def maker(
-        self, found: list[replicas.Replica], body_bytes: int
+    def choose_decode_replica(
+        self, candidates: list[replicas.Replica], body_bytes: int
     ) -> replicas.Replica | None:
-        """Return where to make the output of a prompt that has been read."""
-        makers = [r for r in found if r.stage != prefill_costs.READS]
+        """Return the decode replica for a prompt already prefilled."""
+        decoders = [r for r in candidates if r.stage != prefill_costs.PREFILL]
         return min(
-            makers,
+            decoders,
             key=lambda r: (
-                self._pressure_s(r)
-                + self._far_s(r, body_bytes)
-                + self._random.uniform(0, TIE_S)
+                self._decode_cost_s(r)
+                + self._network_cost_s(r, body_bytes)
+                + self._random.uniform(0, TIE_BREAK_S)
             ),
             default=None,
         )
 
-    def _far_s(self, replica: replicas.Replica, body_bytes: int) -> float:
+    def _network_cost_s(
+        self, replica: replicas.Replica, body_bytes: int
+    ) -> float:
         if replica.failure_domain == self._failure_domain:
             return 0.0
-        return FAR_S_PER_BYTE * body_bytes
-
-    def _reading(self, replica: replicas.Replica, need: _Need) -> _Candidate:
-        lacks = self._cache.unread_tokens(replica.name, need.prompt)
-        copy = self._copy(replica, lacks, need)
-        unread = lacks - copy.tokens
-        cost = self._cost(replica, unread, need)
-        whole = self._cost(replica, need.prompt.tokens, need)
-        queued_s = self._work.at(replica.name).unread_ms / 1000
+        return CROSS_DOMAIN_S_PER_BYTE * body_bytes
+
+    def _candidate(
+        self, replica: replicas.Replica, request: _StreamRequest
+    ) -> _Candidate:
+        missing = self._index.uncached_tokens(replica.name, request.prompt)
+        copy = self._choose_copy(replica, missing, request)
+        uncached = missing - copy.tokens
+        cost = self._prefill_cost(replica, uncached, request)
+        cold_cost = self._prefill_cost(replica, request.prompt.tokens, request)
+        queued_s = self._load.load_of(replica.name).queued_prefill_ms / 1000
         return _Candidate(
             replica,
-            unread,
+            uncached,
             copy,
             queued_s,
             cost.work_s,
-            whole.work_s - cost.work_s,
-            copy.takes_s + queued_s + cost.latency_s + cost.work_s,
-            self._far_s(replica, need.body_bytes),
+            cold_cost.work_s - cost.work_s,
+            copy.duration_s + queued_s + cost.latency_s + cost.work_s,
+            self._network_cost_s(replica, request.body_bytes),
         )
 
-    def _cost(
-        self, replica: replicas.Replica, unread: int, need: _Need
+    def _prefill_cost(
+        self, replica: replicas.Replica, uncached: int, request: _StreamRequest
     ) -> prefill_costs.Cost:
-        return self._costs.expect(
-            replica.service, replica.stage, unread, need.prompt.tokens
+        return self._costs.estimate(
+            replica.service, replica.stage, uncached, request.prompt.tokens
         )
 
-    def _copy(
-        self, replica: replicas.Replica, lacks: int, need: _Need
-    ) -> Copy:
-        """Return what to copy to a replica from another one's memory.
+    def _choose_copy(
+        self, replica: replicas.Replica, missing: int, request: _StreamRequest
+    ) -> KvCopy:
+        """Return the copy to a replica that saves most time, if any does.
 
-        A replica that has just started keeps nothing, and its share of the
-        prompts asked for would be read anew: some 0.4 s for a long shared
-        part that a link carries in 0.01 s.
+        A replica that has just started has an empty cache. Without copies
+        it would compute long shared prefixes, which a link carries far
+        sooner.
         """
-        best, best_gain_s = NO_COPY, LEAST_COPY_GAIN_S
-        whole_s = None
-        for source, source_lacks in need.sources:
-            tokens = lacks - source_lacks
+        best, best_gain_s = NO_KV_COPY, MIN_COPY_GAIN_S
+        uncopied_s = None
+        for source, source_missing in request.copy_sources:
+            tokens = missing - source_missing
             if tokens <= 0:
                 continue
-            takes_s = MOVE_SETUP_S + move_s(tokens, need.engine)
+            duration_s = TRANSFER_SETUP_S + transfer_s(tokens, request.engine)
             if source.failure_domain != replica.failure_domain:
-                takes_s *= FAR_MOVE_TIMES
-            if whole_s is None:
-                whole_s = self._cost(replica, lacks, need).work_s
-            rest_s = self._cost(replica, source_lacks, need).work_s
-            gain_s = whole_s - rest_s - takes_s
+                duration_s *= CROSS_DOMAIN_TRANSFER_FACTOR
+            if uncopied_s is None:
+                uncopied_s = self._prefill_cost(
+                    replica, missing, request
+                ).work_s
+            rest_s = self._prefill_cost(
+                replica, source_missing, request
+            ).work_s
+            gain_s = uncopied_s - rest_s - duration_s
             if gain_s > best_gain_s:
-                best = Copy(source.address, tokens, takes_s)
+                best = KvCopy(source.address, tokens, duration_s)
                 best_gain_s = gain_s
         return best
 
-    def _least(self, found: list[_Candidate]) -> _Candidate:
+    def _cheapest(self, candidates: list[_Candidate]) -> _Candidate:
         return min(
-            found,
-            key=lambda c: c.read_s + c.cost_s + self._random.uniform(0, TIE_S),
+            candidates,
+            key=lambda c: (
+                c.prefill_end_s
+                + c.network_cost_s
+                + self._random.uniform(0, TIE_BREAK_S)
+            ),
         )
 
-    def _pressure_s(self, replica: replicas.Replica) -> float:
-        running = self._work.at(replica.name).running
-        over = max(0, running - replica.slots * 0.9)
-        return RUNNING_S * running + FULL_S * over
+    def _decode_cost_s(self, replica: replicas.Replica) -> float:
+        running = self._load.load_of(replica.name).running
+        overload = max(0, running - replica.slots * 0.9)
+        return STREAM_COST_S * running + OVERLOAD_COST_S * overload
 
     def _interference_s(self, candidate: _Candidate) -> float:
-        running = self._work.at(candidate.replica.name).running
-        return INTERFERENCE * running * candidate.work_s
+        running = self._load.load_of(candidate.replica.name).running
+        return INTERFERENCE_SHARE * running * candidate.work_s
 
 
-def _plan(maker: _Candidate, read: _Candidate, moved_s: float) -> Plan:
-    """Return the plan by which one replica reads and one makes output."""
+def _plan(
+    decode: _Candidate, prefill: _Candidate, transfer_duration_s: float
+) -> Plan:
+    """Return the plan with these replicas; both may be the same."""
     return Plan(
-        maker.replica,
-        None if maker is read else read.replica,
-        read.unread_tokens,
-        read.copy,
-        read.queued_s,
-        read.work_s,
-        read.more_s,
-        read.read_s,
-        read.read_s + moved_s,
+        decode.replica,
+        None if decode is prefill else prefill.replica,
+        prefill.uncached_tokens,
+        prefill.copy,
+        prefill.queued_s,
+        prefill.work_s,
+        prefill.miss_penalty_s,
+        prefill.prefill_end_s,
+        prefill.prefill_end_s + transfer_duration_s,
     )
 
 
-def move_s(tokens: int, engine: catalog.Engine) -> float:
-    """Return how long the KV cache of some tokens takes over a link."""
+def transfer_s(tokens: int, engine: catalog.Engine) -> float:
+    """Return how long a link carries the KV cache of some tokens."""
     bits = tokens * engine.kv_token_bytes * 8
     return bits / (engine.link_mbps * 1e6)
--- a/gentianstair/gateway/plain.py
+++ b/gentianstair/gateway/plain.py
@@ -16,7 +16,7 @@
 async def serve(task: tasks.Task) -> forward.Answer:
     """Return a replica's answer; raise RequestError if there is none."""
     while True:
-        replica = task.node.placement.plain(task.candidates())
+        replica = task.node.placement.choose_plain(task.candidates())
         if replica is None or not task.pay():
             break
         started_s = task.begin(replica)
@@ -52,7 +52,7 @@
         with trio.move_on_after(_limit_s(task)):
             answer = await forward.ask(node, task.call, task.sending(replica))
             if answer.verdict is verdicts.Verdict.RAN:
-                node.usage.began(task.customer_name)
+                node.usage.count_start(task.customer_name)
             return _checked(task, answer)
     finally:
         node.work.end(sent)
--- a/gentianstair/gateway/prefix_index.py
+++ b/gentianstair/gateway/prefix_index.py
@@ -10,10 +10,10 @@
     tokens: int
     # Whether the replica has said so, or a read of it has ended. One that is
     # only being read can't be copied to another replica yet.
-    sure: bool
+    confirmed: bool
 
 
-class _Kept:
+class _ReplicaCache:
     """One replica's parts, the least recently used first."""
 
     def __init__(self) -> None:
@@ -22,28 +22,30 @@
         )
         self.tokens = 0
 
-    def set(self, name: str, tokens: int, sure: bool) -> None:
+    def set(self, name: str, tokens: int, confirmed: bool) -> None:
         known = self.parts.pop(name, None)
         if known is not None:
             self.tokens -= known.tokens
-            sure = sure or (known.sure and known.tokens >= tokens)
+            confirmed = confirmed or (
+                known.confirmed and known.tokens >= tokens
+            )
         if tokens:
             self.tokens += tokens
-            self.parts[name] = _Part(tokens, sure)
+            self.parts[name] = _Part(tokens, confirmed)
 
-    def kept(self, part: calls.PromptPart, sure: bool) -> int:
+    def kept(self, part: calls.PromptPart, confirmed: bool) -> int:
         """Return how many tokens of a part are kept."""
         known = self.parts.get(part.name)
-        if known is None or (sure and not known.sure):
+        if known is None or (confirmed and not known.confirmed):
             return 0
         return min(known.tokens, part.tokens)
 
 
-class PrefixCache:
+class PrefixIndex:
     """What each replica is believed to keep, from events and sendings."""
 
     def __init__(self) -> None:
-        self._kept: dict[str, _Kept] = {}
+        self._kept: dict[str, _ReplicaCache] = {}
         # The replicas that keep a part, by its name.
         self._holders: dict[str, set[str]] = {}
 
@@ -70,13 +72,15 @@
             return ()
         return self._holders.get(prompt.parts[0].name, ())
 
-    def set(self, replica: str, part: str, tokens: int) -> None:
+    def update(self, replica: str, part: str, tokens: int) -> None:
         """Take what a replica says it keeps of a part."""
-        self._set(replica, part, tokens, sure=True)
+        self._set(replica, part, tokens, confirmed=True)
 
-    def _set(self, replica: str, part: str, tokens: int, sure: bool) -> None:
-        kept = self._kept.setdefault(replica, _Kept())
-        kept.set(part, tokens, sure)
+    def _set(
+        self, replica: str, part: str, tokens: int, confirmed: bool
+    ) -> None:
+        kept = self._kept.setdefault(replica, _ReplicaCache())
+        kept.set(part, tokens, confirmed)
         if tokens:
             self._holders.setdefault(part, set()).add(replica)
         else:
@@ -92,12 +96,12 @@
         memory, the least recently used, are believed gone. Return the names
         of those that are new.
         """
-        kept = self._kept.setdefault(replica, _Kept())
+        kept = self._kept.setdefault(replica, _ReplicaCache())
         new = [p.name for p in prompt.parts if p.name not in kept.parts]
         for part in prompt.parts:
-            self._set(replica, part.name, part.tokens, sure=False)
+            self._set(replica, part.name, part.tokens, confirmed=False)
         while kept.tokens > capacity_tokens and len(kept.parts) > 1:
-            self._set(replica, next(iter(kept.parts)), 0, sure=False)
+            self._set(replica, next(iter(kept.parts)), 0, confirmed=False)
         return new
 
     def confirm(self, replica: str, prompt: calls.Prompt) -> None:
@@ -105,28 +109,28 @@
         kept = self._kept.get(replica)
         for part in prompt.parts if kept else ():
             if part.name in kept.parts:
-                self._set(replica, part.name, part.tokens, sure=True)
+                self._set(replica, part.name, part.tokens, confirmed=True)
 
     def retract(self, replica: str, parts: typing.Iterable[str]) -> None:
         """Take back what was expected of a read that failed."""
         if replica in self._kept:
             for part in parts:
-                self._set(replica, part, 0, sure=False)
+                self._set(replica, part, 0, confirmed=False)
 
-    def unread_tokens(
-        self, replica: str, prompt: calls.Prompt, sure: bool = False
+    def uncached_tokens(
+        self, replica: str, prompt: calls.Prompt, confirmed: bool = False
     ) -> int:
         """Return how many tokens of a prompt the replica must read.
 
-        A part counts only if all parts before it are kept whole; with sure,
-        only if it has been read by now.
+        A part counts only if all parts before it are cached whole, and with
+        confirmed only if its prefill has ended.
         """
         kept = self._kept.get(replica)
         total = max(prompt.tokens, sum(part.tokens for part in prompt.parts))
         if kept is None:
             return total
         for part in prompt.parts:
-            found = kept.kept(part, sure)
+            found = kept.kept(part, confirmed)
             total -= found
             if found < part.tokens:
                 break
--- a/gentianstair/gateway/reading.py
+++ b/gentianstair/gateway/reading.py
@@ -21,21 +21,21 @@
         'a prompt was read',
         replica=replica.name,
         stage=replica.stage,
-        unread_tokens=plan.unread_tokens,
+        unread_tokens=plan.uncached_tokens,
         prompt_tokens=prompt.tokens,
         queued_s=round(plan.queued_s, 3),
         work_s=round(plan.work_s, 3),
         copied_tokens=plan.copy.tokens,
-        expected_s=round(plan.read_s, 3),
+        expected_s=round(plan.prefill_end_s, 3),
         took_s=round(took_s, 3),
     )
     node.cache.confirm(replica.name, prompt)
-    node.read_costs.note(
+    node.read_costs.record(
         replica.service,
         replica.stage,
-        plan.unread_tokens,
+        plan.uncached_tokens,
         prompt.tokens,
-        took_s - plan.copy.takes_s - plan.queued_s,
+        took_s - plan.copy.duration_s - plan.queued_s,
     )
 
 
@@ -57,8 +57,8 @@
         node = task.node
         self._started_s = node.clock()
         work_s = plan.work_s if plan else 0.0
-        more_s = plan.more_s if plan else 0.0
-        ends_s = self._started_s + (plan.read_s if plan else 0.0)
+        more_s = plan.miss_penalty_s if plan else 0.0
+        ends_s = self._started_s + (plan.prefill_end_s if plan else 0.0)
         self._sent = node.work.begin(maker.name, work_s, ends_s, more_s)
         self.first_s: float | None = None
 
@@ -68,8 +68,8 @@
             return False
         node = self._task.node
         self.first_s = node.clock()
-        node.usage.began(self._task.customer_name)
-        self._sent.read()
+        node.usage.count_start(self._task.customer_name)
+        self._sent.prefill_done()
         took_s = self.first_s - self._started_s
         if self._plan is None:
             self._note_moved(took_s)
--- a/gentianstair/gateway/remote_prefill.py
+++ b/gentianstair/gateway/remote_prefill.py
@@ -26,7 +26,7 @@
     reader: str
 
 
-class PromptRead:
+class RemotePrefill:
     """The reads of one request's prompt, and the KV cache of the last."""
 
     def __init__(
@@ -57,20 +57,20 @@
         """
         repeats, service = self._node.repeats, self._task.service
         if self._reads:
-            return repeats.take(service)
-        return not repeats.spent(service) or repeats.left(service) >= 1
+            return repeats.try_spend(service)
+        return not repeats.spent(service) or repeats.remaining(service) >= 1
 
     async def read(self, plan: placement.Plan, urgency: int) -> None:
         """Have the prompt read as planned; raise UpstreamError."""
-        reader = plan.reader
+        reader = plan.prefill_replica
         assert reader is not None
         task, node = self._task, self._node
         started_s = node.clock()
         sent = node.work.begin(
             reader.name,
             plan.work_s,
-            started_s + plan.read_s,
-            plan.more_s,
+            started_s + plan.prefill_end_s,
+            plan.miss_penalty_s,
         )
         expected = node.cache.expect(
             reader.name, self._prompt, self._engine.kv_tokens
--- a/gentianstair/gateway/replica_load.py
+++ b/gentianstair/gateway/replica_load.py
@@ -9,14 +9,14 @@
 
 # Peers tell their load several times a second; one that was silent for
 # longer may be gone, and what it had sent with it.
-PEER_MEMORY_S = 1.5
+PEER_TIMEOUT_S = 1.5
 # Part of its work for which a read counts that should have ended by now.
-OVERDUE_SHARE = 0.3
+MIN_OVERDUE_SHARE = 0.3
 # Peers are told at once of a read that keeps its replica busy for so long:
 # in the time to the next regular word several prompts would queue behind it.
-LONG_S = 0.08
+LONG_PREFILL_S = 0.08
 # How often peers that have been silent are looked for.
-EXPIRE_S = 0.1
+EXPIRY_INTERVAL_S = 0.1
 
 
 class Load(typing.NamedTuple):
@@ -24,10 +24,10 @@
 
     running: int = 0
     # For how long the replica is busy with the prompts it has yet to read.
-    unread_ms: int = 0
+    queued_prefill_ms: int = 0
 
 
-NOTHING = Load()
+IDLE = Load()
 
 
 def encode(found: dict[str, Load]) -> dict[str, list[int]]:
@@ -40,7 +40,7 @@
     return {
         name: Load(*pair)
         for name, pair in told.items()
-        if len(pair) == len(NOTHING)
+        if len(pair) == len(IDLE)
     }
 
 
@@ -48,10 +48,10 @@
     at_s: float
     loads: dict[str, Load]
     # Whether this VM passes it on, as the hub of that peer.
-    passed_on: bool
+    from_leaf: bool
 
 
-class Sent:
+class ActiveRequest:
     """One request at a replica, and the read of its prompt."""
 
     def __init__(
@@ -62,11 +62,11 @@
         self._ends_s = ends_s
         self._more_s = more_s
 
-    def read(self) -> None:
+    def prefill_done(self) -> None:
         """Note that the prompt has been read."""
         self._work_s = self._more_s = 0.0
 
-    def left_s(self, now_s: float) -> float:
+    def remaining_prefill_s(self, now_s: float) -> float:
         """Return how much of the read is still to be done.
 
         A read that waits for others counts whole; from when it is expected
@@ -79,42 +79,42 @@
         due_s = self._ends_s - now_s
         if due_s > 0:
             return min(self._work_s, due_s)
-        return max(OVERDUE_SHARE * self._work_s, due_s + self._more_s)
+        return max(MIN_OVERDUE_SHARE * self._work_s, due_s + self._more_s)
 
 
-def _sum(sent: typing.Iterable[Sent], now_s: float) -> Load:
+def _sum(sent: typing.Iterable[ActiveRequest], now_s: float) -> Load:
     found = list(sent)
-    left_s = sum(one.left_s(now_s) for one in found)
-    return Load(len(found), round(left_s * 1000))
+    remaining_s = sum(one.remaining_prefill_s(now_s) for one in found)
+    return Load(len(found), round(remaining_s * 1000))
 
 
 def _add(found: dict[str, Load], more: dict[str, Load], sign: int = 1) -> None:
     """Add loads to others, or take them away with sign -1."""
     for replica, load in more.items():
-        known = found.get(replica, NOTHING)
+        known = found.get(replica, IDLE)
         total = Load(
             known.running + sign * load.running,
-            known.unread_ms + sign * load.unread_ms,
+            known.queued_prefill_ms + sign * load.queued_prefill_ms,
         )
-        if total == NOTHING:
+        if total == IDLE:
             found.pop(replica, None)
         else:
             found[replica] = total
 
 
-class Loads:
+class LoadTracker:
     """The work at each replica, by its name."""
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._own: dict[str, set[Sent]] = {}
+        self._own: dict[str, set[ActiveRequest]] = {}
         self._peers: dict[str, _PeerLoad] = {}
         # Set, and replaced, when a long read begins.
-        self._long = trio.Event()
+        self._long_prefill = trio.Event()
         # The sum over peers. A hub hears some tens of them several times a
         # second, so it is kept up and not made anew.
         self._others: dict[str, Load] = {}
-        self._expired_s = -math.inf
+        self._last_expiry_s = -math.inf
 
     def begin(
         self,
@@ -122,90 +122,90 @@
         work_s: float = 0.0,
         ends_s: float = 0.0,
         more_s: float = 0.0,
-    ) -> Sent:
+    ) -> ActiveRequest:
         """Count a request that is being sent; the caller ends it.
 
         work_s is for how long the replica is busy reading its prompt, and
         ends_s when that is expected to be over; more_s is how much longer
         it takes if nothing of the prompt is kept.
         """
-        sent = Sent(replica, work_s, ends_s, more_s)
-        if work_s >= LONG_S:
-            self._long.set()
-            self._long = trio.Event()
+        sent = ActiveRequest(replica, work_s, ends_s, more_s)
+        if work_s >= LONG_PREFILL_S:
+            self._long_prefill.set()
+            self._long_prefill = trio.Event()
         self._own.setdefault(replica, set()).add(sent)
         return sent
 
-    async def wait_long(self) -> None:
+    async def wait_long_prefill(self) -> None:
         """Return when a long read begins."""
-        await self._long.wait()
+        await self._long_prefill.wait()
 
-    def end(self, sent: Sent) -> None:
+    def end(self, sent: ActiveRequest) -> None:
         """Count a request as over."""
         running = self._own.get(sent.replica, set())
         running.discard(sent)
         if not running:
             self._own.pop(sent.replica, None)
 
-    def own(self) -> dict[str, Load]:
+    def local(self) -> dict[str, Load]:
         """Return this VM's own work."""
         now_s = self._clock()
         return {name: _sum(sent, now_s) for name, sent in self._own.items()}
 
-    def part(self) -> dict[str, Load]:
+    def subtree(self) -> dict[str, Load]:
         """Return what this VM answers for: its own work and its leaves'."""
-        found = self.own()
+        found = self.local()
         self._expire()
         for peer in self._peers.values():
-            if peer.passed_on:
+            if peer.from_leaf:
                 _add(found, peer.loads)
         return found
 
-    def without(self, process: str) -> dict[str, Load]:
+    def excluding(self, process: str) -> dict[str, Load]:
         """Return all work that is known but for one peer's own."""
         self._expire()
         found = dict(self._others)
         peer = self._peers.get(process)
         if peer is not None:
             _add(found, peer.loads, -1)
-        _add(found, self.own())
+        _add(found, self.local())
         return found
 
-    def tell(
-        self, process: str, loads: dict[str, Load], passed_on: bool = False
+    def update_peer(
+        self, process: str, loads: dict[str, Load], from_leaf: bool = False
     ) -> None:
         """Take a peer's part."""
-        self.forget(process)
-        self._peers[process] = _PeerLoad(self._clock(), loads, passed_on)
+        self.remove_peer(process)
+        self._peers[process] = _PeerLoad(self._clock(), loads, from_leaf)
         _add(self._others, loads)
 
-    def forget(self, process: str) -> None:
+    def remove_peer(self, process: str) -> None:
         """Drop a peer's part, as it is over or another one now tells it."""
         peer = self._peers.pop(process, None)
         if peer is not None:
             _add(self._others, peer.loads, -1)
 
-    def at(self, replica: str) -> Load:
+    def load_of(self, replica: str) -> Load:
         """Return all work at a replica, as far as it is known."""
         now_s = self._clock()
         self._expire()
         sent = self._own.get(replica)
-        own = _sum(sent, now_s) if sent else NOTHING
+        own = _sum(sent, now_s) if sent else IDLE
         others = self._others.get(replica)
         if others is None:
             return own
         return Load(
             own.running + others.running,
-            own.unread_ms + others.unread_ms,
+            own.queued_prefill_ms + others.queued_prefill_ms,
         )
 
     def _expire(self) -> None:
         """Drop the parts of peers that have been silent, now and then."""
         now_s = self._clock()
-        if now_s < self._expired_s + EXPIRE_S:
+        if now_s < self._last_expiry_s + EXPIRY_INTERVAL_S:
             return
-        self._expired_s = now_s
-        oldest_s = now_s - PEER_MEMORY_S
+        self._last_expiry_s = now_s
+        oldest_s = now_s - PEER_TIMEOUT_S
         gone = [n for n, peer in self._peers.items() if peer.at_s < oldest_s]
         for name in gone:
-            self.forget(name)
+            self.remove_peer(name)
--- a/gentianstair/gateway/replicas.py
+++ b/gentianstair/gateway/replicas.py
@@ -12,11 +12,11 @@
 # An entry that went missing while the store was away comes back within
 # about two seconds of the store's return if its replica lives; the rest is
 # for the answer that shows it.
-RETURN_S = 2.3
+REREGISTER_S = 2.3
 # Assumed until a configuration says it.
-CACHE_CALLS = 12
+DEFAULT_CACHE_CALLS = 12
 # Names whose last change is kept for VMs that learn of replicas from here.
-MOST_CHANGES = 20000
+MAX_LOGGED_CHANGES = 20000
 
 
 class Replica(typing.NamedTuple):
@@ -32,9 +32,9 @@
     stage: str
     # Unix milliseconds of its start; a replica may start again under its
     # name and then knows nothing of before.
-    born_ms: int
+    started_ms: int
     # Orders it has accepted since its start.
-    orders_taken: int
+    accepted_orders: int
     reclaimable: bool
     models: tuple[str, ...]
 
@@ -51,14 +51,14 @@
         self._by_service: dict[str, list[Replica]] = {}
         # New, changed and gone (None) replicas, for VMs that learn from here.
         self.changes: change_log.ChangeLog[str, Replica | None] = (
-            change_log.ChangeLog(MOST_CHANGES)
+            change_log.ChangeLog(MAX_LOGGED_CHANGES)
         )
         # When a replica was first seen to be draining.
         self._draining_s: dict[str, float] = {}
         # Calls for changes of its cache that a replica keeps waiting.
-        self.cache_calls = CACHE_CALLS
+        self.max_cache_calls = DEFAULT_CACHE_CALLS
         # Set once a whole listing has been taken.
-        self.known = trio.Event()
+        self.loaded = trio.Event()
 
     def get(self, name: str) -> Replica | None:
         """Return a replica by its name."""
@@ -72,7 +72,7 @@
         """Return all replicas of a service, also those that leave."""
         return [r for r in self._replicas.values() if r.service == service]
 
-    def keeping(self, service: str, leaving_s: float) -> list[Replica]:
+    def copy_sources(self, service: str, leaving_s: float) -> list[Replica]:
         """Return the replicas of a service whose memory is there for sure.
 
         What a leaving one keeps goes with it, so it is wanted most, but
@@ -96,10 +96,10 @@
         """Take a whole listing in place of what is known.
 
         After an outage of the store an entry that is not listed may have
-        lapsed though its replica lives, so it is kept for RETURN_S.
+        lapsed though its replica lives, so it is kept for REREGISTER_S.
         """
         found = {replica.name: replica for replica in replicas}
-        until_s = self._clock() + RETURN_S
+        until_s = self._clock() + REREGISTER_S
         for name, replica in self._replicas.items():
             if name in found:
                 continue
@@ -116,7 +116,7 @@
             if not _same(self._replicas.get(name), replica):
                 self.changes.put(name, replica)
         self._replicas = found
-        self.known.set()
+        self.loaded.set()
         self._index()
 
     def put(self, replica: Replica) -> None:
@@ -142,7 +142,7 @@
             _log_gone(replica, 'entry removed')
             self._index()
 
-    def seen(self, names: typing.Iterable[str]) -> None:
+    def confirm_listed(self, names: typing.Iterable[str]) -> None:
         """Note that these are listed after all."""
         for name in names:
             self._missing.pop(name, None)
@@ -175,7 +175,9 @@
     """Return whether an entry is as known but for its count of orders."""
     if known is None:
         return False
-    return known._replace(orders_taken=0) == replica._replace(orders_taken=0)
+    return known._replace(accepted_orders=0) == replica._replace(
+        accepted_orders=0
+    )
 
 
 def _told(replica: Replica) -> dict[str, typing.Any]:
--- a/gentianstair/gateway/retry_budget.py
+++ b/gentianstair/gateway/retry_budget.py
@@ -14,10 +14,10 @@
 
 # Kept back from each VM's part: requests and repeats are counted by the
 # users in windows that do not begin where ours do.
-SAFETY = 0.7
+SAFETY_SHARE = 0.7
 
 
-class Terms(typing.NamedTuple):
+class Limits(typing.NamedTuple):
     """What is allowed in each window, over all VMs."""
 
     ratio: float
@@ -38,44 +38,44 @@
                 times.popleft()
 
 
-class Repeats:
+class RetryBudget:
     """Say whether this VM may send a request once more."""
 
     def __init__(
         self,
-        terms_of: typing.Callable[[], Terms],
+        limits_of: typing.Callable[[], Limits],
         clock: clocks.Clock,
-        vms: typing.Callable[[], int],
+        vm_count: typing.Callable[[], int],
         restarted: bool = True,
     ) -> None:
-        self._terms_of = terms_of
+        self._limits_of = limits_of
         self._clock = clock
-        self._vms = vms
+        self._vm_count = vm_count
         self._counts: dict[str, _Counts] = {}
         self._restarted_s = clock() if restarted else -math.inf
 
     def _of(self, service: str) -> _Counts:
         counts = self._counts.setdefault(service, _Counts())
-        counts.forget(self._clock() - self._terms_of().window_s)
+        counts.forget(self._clock() - self._limits_of().window_s)
         return counts
 
-    def request(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count a caller's request for a service."""
         self._of(service).first.append(self._clock())
 
-    def left(self, service: str) -> float:
+    def remaining(self, service: str) -> float:
         """Return how many repeats this VM may send now."""
-        terms = self._terms_of()
+        limits = self._limits_of()
         counts = self._of(service)
-        allowance = terms.allowance / max(1, self._vms())
+        allowance = limits.allowance / max(1, self._vm_count())
         # A process that was restarted does not know what the one before it
         # spent in this window. Its part grows as that leaves the window, and
         # by half only, so that all VMs killed at once stay within it.
-        age = (self._clock() - self._restarted_s) / terms.window_s
+        age = (self._clock() - self._restarted_s) / limits.window_s
         if age < 1:
             allowance *= age / 2
-        earned = terms.ratio * len(counts.first)
-        return SAFETY * (earned + allowance) - len(counts.repeats)
+        earned = limits.ratio * len(counts.first)
+        return SAFETY_SHARE * (earned + allowance) - len(counts.repeats)
 
     def spent(self, service: str) -> int:
         """Return how many repeats this VM sent in the last window."""
@@ -85,9 +85,9 @@
         """Count a repeat that has already been made, whatever is left."""
         self._of(service).repeats.append(self._clock())
 
-    def take(self, service: str) -> bool:
+    def try_spend(self, service: str) -> bool:
         """Spend one repeat; say whether there was one."""
-        if self.left(service) < 1:
+        if self.remaining(service) < 1:
             return False
         self.spend(service)
         return True
--- a/gentianstair/gateway/roster.py
+++ b/gentianstair/gateway/roster.py
@@ -137,7 +137,7 @@
 
         A small fleet need not, as each of its VMs asks each replica.
         """
-        calls = self._registry.cache_calls
+        calls = self._registry.max_cache_calls
         return not self.is_mesh() or len(self.hubs()) > calls - SPARE_CALLS
 
     def follows(self) -> set[str]:
--- a/gentianstair/gateway/streaming.py
+++ b/gentianstair/gateway/streaming.py
@@ -48,7 +48,7 @@
         self._engine = engine or ENGINE
         self._prompt = task.call.prompt or calls.Prompt('', 0, 0, ())
         self._events = event_stream.Events()
-        self._read = remote_prefill.PromptRead(
+        self._read = remote_prefill.RemotePrefill(
             task, self._prompt, self._engine
         )
         # Passed through when a replica itself refuses or fails.
@@ -93,11 +93,11 @@
             return False
         if self._prompt.tokens > self._engine.kv_tokens:
             return True
-        return plan.expected_s > HOPELESS_TIMES * task.left_s()
+        return plan.first_event_s > HOPELESS_TIMES * task.left_s()
 
     def _plan(self) -> placement.Plan | None:
         task = self._task
-        plan = self._node.placement.stream(
+        plan = self._node.placement.plan_stream(
             task.candidates(),
             self._prompt,
             self._engine,
@@ -108,25 +108,27 @@
             task.tell(
                 events.ROUTE,
                 'chose replicas',
-                replica=plan.maker.name,
-                reader=plan.reader.name if plan.reader else None,
-                unread_tokens=plan.unread_tokens,
+                replica=plan.decode_replica.name,
+                reader=plan.prefill_replica.name
+                if plan.prefill_replica
+                else None,
+                unread_tokens=plan.uncached_tokens,
                 copied_tokens=plan.copy.tokens,
                 prompt_tokens=self._prompt.tokens,
-                expected_s=round(plan.expected_s, 3),
+                expected_s=round(plan.first_event_s, 3),
                 left_s=round(task.left_s(), 3),
             )
         return plan
 
     async def _run(self, plan: placement.Plan) -> None:
-        if plan.reader is not None and self._read.source is None:
+        if plan.prefill_replica is not None and self._read.source is None:
             if self._read.may_read():
                 await self._read.read(plan, self._urgency())
             else:
                 plan = self._without_reader(plan)
         source = self._read.source
         if source is None:
-            await self._make(plan.maker, None, plan)
+            await self._make(plan.decode_replica, None, plan)
             return
         try:
             await self._make(self._maker_now(), source, None)
@@ -137,8 +139,11 @@
 
     def _without_reader(self, plan: placement.Plan) -> placement.Plan:
         """Have the maker read the prompt: one arrival in place of two."""
-        direct = self._node.placement.stream(
-            [plan.maker], self._prompt, self._engine, len(self._task.body)
+        direct = self._node.placement.plan_stream(
+            [plan.decode_replica],
+            self._prompt,
+            self._engine,
+            len(self._task.body),
         )
         assert direct is not None
         return direct
@@ -150,7 +155,9 @@
         by now and must get no more work, and others may have less to do.
         """
         task = self._task
-        maker = self._node.placement.maker(task.candidates(), len(task.body))
+        maker = self._node.placement.choose_decode_replica(
+            task.candidates(), len(task.body)
+        )
         if maker is None:
             raise errors.UpstreamError(
                 'nobody makes output now', verdicts.Verdict.NOT_RUN
@@ -173,7 +180,7 @@
         Without a plan there is nothing to read: the source holds it.
         """
         task, node = self._task, self._node
-        copy = plan.copy if plan else placement.NO_COPY
+        copy = plan.copy if plan else placement.NO_KV_COPY
         started_s = task.begin(maker)
         if self._prompt.parts:
             node.cache.expect(maker.name, self._prompt, self._engine.kv_tokens)
@@ -206,7 +213,9 @@
         if found.status_code != 200:
             await self._refused(found, verdict)
             return
-        silence_s = max(LEAST_SILENCE_S, SILENT_PAUSES * task.route.pause_s)
+        silence_s = max(
+            LEAST_SILENCE_S, SILENT_PAUSES * task.route.max_pause_s
+        )
         stream = aiter(found.stream)
         # The first event may have to wait for its turn.
         limit_s = math.inf
--- a/gentianstair/gateway/task.py
+++ b/gentianstair/gateway/task.py
@@ -116,7 +116,9 @@
         leaving_s = self.node.deployment.bounds.drain_s - LEARNED_S
         return [
             replica
-            for replica in self.node.registry.keeping(self.service, leaving_s)
+            for replica in self.node.registry.copy_sources(
+                self.service, leaving_s
+            )
             if self.node.ejector.usable(self._key(replica), now_s)
         ]
 
@@ -203,7 +205,7 @@
         """
         if self.sent == self.failed_reads:
             return True
-        return self.node.repeats.take(self.service)
+        return self.node.repeats.try_spend(self.service)
 
     def tell(self, event: str, message: str, **fields: typing.Any) -> None:
         """Log one decision on this request."""
--- a/gentianstair/gateway/usage_counter.py
+++ b/gentianstair/gateway/usage_counter.py
@@ -10,7 +10,7 @@
 Windows = dict[int, dict[str, int]]
 
 
-class Counts:
+class UsageCounter:
     """This process's counts; window k begins k times window_s after 1970."""
 
     def __init__(
@@ -22,15 +22,15 @@
         # Rises with each count, so that a writer sees what is new.
         self.changes = 0
 
-    def now(self) -> int:
+    def current_window(self) -> int:
         """Return the window of this moment."""
         return int(self._wall() // self._window_s)
 
-    def began(self, customer: str | None) -> None:
+    def count_start(self, customer: str | None) -> None:
         """Count a request that began to run now."""
         if customer is None:
             return
-        window = self.now()
+        window = self.current_window()
         counts = self._windows.get(window)
         if counts is None:
             counts = self._windows[window] = collections.Counter()
@@ -44,10 +44,12 @@
         return {window: dict(c) for window, c in self._windows.items()}
 
 
-def total(parts: typing.Iterable[Windows], window: int) -> dict[str, int]:
+def window_total(
+    parts: typing.Iterable[Windows], window: int
+) -> dict[str, int]:
     """Return the counts of one window over all processes.
 
-    >>> total([{7: {'a': 1}}, {7: {'a': 2, 'b': 1}, 8: {'a': 9}}], 7)
+    >>> window_total([{7: {'a': 1}}, {7: {'a': 2, 'b': 1}, 8: {'a': 9}}], 7)
     {'a': 3, 'b': 1}
     """
     found: collections.Counter[str] = collections.Counter()
--- a/gentianstair/platform/configuration.py
+++ b/gentianstair/platform/configuration.py
@@ -106,12 +106,12 @@
         kind=_KINDS.get(raw.type, catalog.CallKind.AT_MOST_ONCE),
         timeout_s=raw.timeout_ms / 1000,
         objective_s=raw.target_latency_ms / 1000,
-        pause_s=raw.target_gap_ms / 1000,
+        max_pause_s=raw.target_gap_ms / 1000,
         priority=raw.priority,
         targets=targets,
         max_attempts=max(1, raw.max_attempts),
         public=raw.public,
-        prompts=raw.sticky,
+        shares_prompts=raw.sticky,
         resumable=raw.resumable,
     )
 
@@ -122,10 +122,10 @@
         kv_tokens=raw.kv_capacity_tokens,
         kv_token_bytes=raw.kv_token_bytes,
         link_mbps=raw.link_mbps,
-        handle_s=raw.kv_hold_s,
+        kv_hold_s=raw.kv_hold_s,
         stage_change_s=raw.stage_switch_s,
         models=tuple(model.name for model in raw.models),
-        cache_calls=raw.most,
+        max_cache_calls=raw.most,
     )
 
 
@@ -180,7 +180,7 @@
         routes=_routes(raw.routes),
         services={s.name: _service(s) for s in raw.services},
         customers=customers,
-        keyed=raw.tenants is not None,
+        requires_keys=raw.tenants is not None,
         limits=catalog.Limits(
             limits.max_header_bytes,
             limits.max_body_bytes,
--- a/gentianstair/platform/registry.py
+++ b/gentianstair/platform/registry.py
@@ -58,8 +58,8 @@
         slots=entry.slots,
         draining=entry.state == DRAINING,
         stage=entry.stage,
-        born_ms=entry.born,
-        orders_taken=entry.sequence,
+        started_ms=entry.born,
+        accepted_orders=entry.sequence,
         reclaimable=entry.spot,
         models=tuple(model.name for model in entry.models),
     )
--- a/test/gateway/test_autoscaling.py
+++ b/test/gateway/test_autoscaling.py
@@ -50,10 +50,10 @@
 )
 def test_what_is_wanted(cheap, dear, wanted_cheap, wanted_dear):
     found = fleet(cheap, dear)
-    wanted = autoscaling.decide(SCALING, 5, found, names(found))
+    wanted = autoscaling.desired_counts(SCALING, 5, found, names(found))
     assert sum(wanted.reclaimable.values()) == wanted_cheap
-    steady = {d: wanted_dear.count(d) for d in PRICES}
-    assert wanted.steady == steady
+    on_demand = {d: wanted_dear.count(d) for d in PRICES}
+    assert wanted.on_demand == on_demand
 
 
 def names(found):
@@ -67,19 +67,21 @@
     callers' objectives run: the first seconds are the worst of the day.
     """
     found = fleet('aabbcc', 'abc')
-    wanted = autoscaling.decide(SCALING, 5, found, ())
-    assert sum(wanted.steady.values()) == 3
-    wanted = autoscaling.decide(SCALING, 5, found, names(found))
-    assert sum(wanted.steady.values()) == 0
+    wanted = autoscaling.desired_counts(SCALING, 5, found, ())
+    assert sum(wanted.on_demand.values()) == 3
+    wanted = autoscaling.desired_counts(SCALING, 5, found, names(found))
+    assert sum(wanted.on_demand.values()) == 0
 
 
 def test_dear_ones_are_let_go_one_by_one():
-    planner = autoscaling.Planner()
+    planner = autoscaling.OrderPlanner()
     found = fleet('aabbcc', 'abc')
-    wanted = autoscaling.decide(SCALING, 5, found, names(found))
+    wanted = autoscaling.desired_counts(SCALING, 5, found, names(found))
     now_s, let_go = 100.0, []
     for _ in range(100):
-        for order in planner.due('models', SCALING, wanted, found, now_s):
+        for order in planner.due_orders(
+            'models', SCALING, wanted, found, now_s
+        ):
             if not order.reclaimable:
                 let_go.append((now_s, order.failure_domain, order.count))
                 found = [
@@ -91,7 +93,7 @@
         now_s += 0.1
     assert [count for _, _, count in let_go] == [0, 0, 0]
     times_s = [at_s for at_s, _, _ in let_go]
-    assert times_s[2] - times_s[0] >= 2 * autoscaling.LET_GO_PAUSE_S - 0.01
+    assert times_s[2] - times_s[0] >= 2 * autoscaling.RELEASE_INTERVAL_S - 0.01
 
 
 @pytest.mark.parametrize(
@@ -99,39 +101,39 @@
 )
 def test_cheap_ones_by_their_price(price, total):
     scaling = SCALING._replace(reclaimable_price=price)
-    wanted = autoscaling.decide(scaling, 5, [], ())
+    wanted = autoscaling.desired_counts(scaling, 5, [], ())
     assert sum(wanted.reclaimable.values()) == total
 
 
 def test_both_kinds_share_the_most_of_a_domain():
     """The platform refuses an order past the most of both kinds together."""
-    planner = autoscaling.Planner()
+    planner = autoscaling.OrderPlanner()
     found = fleet('', 'aabcc')
-    wanted = autoscaling.decide(SCALING, 5, found, ())
-    orders = planner.due('models', SCALING, wanted, found, 0.0)
+    wanted = autoscaling.desired_counts(SCALING, 5, found, ())
+    orders = planner.due_orders('models', SCALING, wanted, found, 0.0)
     counts = {o.failure_domain: o.count for o in orders if o.reclaimable}
     assert counts == {'a': 1, 'b': 2, 'c': 1}
 
 
 def test_an_order_is_not_repeated_while_it_takes_effect():
-    planner = autoscaling.Planner()
+    planner = autoscaling.OrderPlanner()
     found = fleet('', 'aabcc')
-    wanted = autoscaling.decide(SCALING, 5, found, ())
-    for order in planner.due('models', SCALING, wanted, found, 0.0):
-        planner.ordered(order, SCALING, 0.0)
-    assert planner.due('models', SCALING, wanted, found, 3.0) == []
-    later_s = SCALING.boot_s + autoscaling.PATIENCE_S + 0.1
-    assert planner.due('models', SCALING, wanted, found, later_s)
+    wanted = autoscaling.desired_counts(SCALING, 5, found, ())
+    for order in planner.due_orders('models', SCALING, wanted, found, 0.0):
+        planner.record_accepted(order, SCALING, 0.0)
+    assert planner.due_orders('models', SCALING, wanted, found, 3.0) == []
+    later_s = SCALING.boot_s + autoscaling.ORDER_TIMEOUT_S + 0.1
+    assert planner.due_orders('models', SCALING, wanted, found, later_s)
 
 
 def test_none_to_be_had_is_asked_again_soon():
-    planner = autoscaling.Planner()
-    wanted = autoscaling.decide(SCALING, 5, [], ())
-    orders = planner.due('models', SCALING, wanted, [], 0.0)
+    planner = autoscaling.OrderPlanner()
+    wanted = autoscaling.desired_counts(SCALING, 5, [], ())
+    orders = planner.due_orders('models', SCALING, wanted, [], 0.0)
     for order in orders:
-        planner.none_left(order, 0.0)
-    assert planner.due('models', SCALING, wanted, [], 1.0) == []
-    assert planner.due('models', SCALING, wanted, [], 2.0) == orders
+        planner.record_unavailable(order, 0.0)
+    assert planner.due_orders('models', SCALING, wanted, [], 1.0) == []
+    assert planner.due_orders('models', SCALING, wanted, [], 2.0) == orders
 
 
 def test_reclaimed_ones_are_ordered_anew_at_once():
@@ -140,18 +142,20 @@
     The order was taken to be still under way, and for five seconds, under
     the day's heaviest load, nothing was asked for.
     """
-    planner = autoscaling.Planner()
+    planner = autoscaling.OrderPlanner()
     found = fleet('aaabbbccc')
-    wanted = autoscaling.decide(SCALING, 5, found, names(found))
-    for order in planner.due('models', SCALING, wanted, fleet('aaabbb'), 0.0):
-        planner.ordered(order, SCALING, 0.0)
-    assert planner.due('models', SCALING, wanted, found, 1.0) == []
+    wanted = autoscaling.desired_counts(SCALING, 5, found, names(found))
+    for order in planner.due_orders(
+        'models', SCALING, wanted, fleet('aaabbb'), 0.0
+    ):
+        planner.record_accepted(order, SCALING, 0.0)
+    assert planner.due_orders('models', SCALING, wanted, found, 1.0) == []
     left = fleet('aaabbb', '', 'ccc')
-    (order,) = planner.due('models', SCALING, wanted, left, 1.5)
+    (order,) = planner.due_orders('models', SCALING, wanted, left, 1.5)
     assert order == autoscaling.Order('models', 'c', True, 3)
 
 
 def test_a_draining_replica_does_not_count():
     found = fleet('aabb', '', 'cc')
-    wanted = autoscaling.decide(SCALING, 5, found, names(found))
-    assert sum(wanted.steady.values()) == 1
+    wanted = autoscaling.desired_counts(SCALING, 5, found, names(found))
+    assert sum(wanted.on_demand.values()) == 1
--- a/test/gateway/test_cache_news.py
+++ b/test/gateway/test_cache_news.py
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def news():
-    return cache_news.CacheNews(prefix_index.PrefixCache())
+    return cache_news.CacheNews(prefix_index.PrefixIndex())
 
 
 @pytest.mark.parametrize(
@@ -34,11 +34,11 @@
     ],
 )
 def test_what_is_believed(news, changes, unread_tokens):
-    cache = prefix_index.PrefixCache()
+    cache = prefix_index.PrefixIndex()
     news = cache_news.CacheNews(cache)
     for found in changes:
         news.heard(found, passed_on=True)
-    assert cache.unread_tokens('i-1', PROMPT) == unread_tokens
+    assert cache.uncached_tokens('i-1', PROMPT) == unread_tokens
 
 
 def test_short_parts_are_not_told(news):
--- a/test/gateway/test_hub_link.py
+++ b/test/gateway/test_hub_link.py
@@ -33,8 +33,8 @@
     roster.follows_of = lambda process: []
     return types.SimpleNamespace(
         roster=roster,
-        work=replica_load.Loads(clock),
-        cache_news=cache_news.CacheNews(prefix_index.PrefixCache()),
+        work=replica_load.LoadTracker(clock),
+        cache_news=cache_news.CacheNews(prefix_index.PrefixIndex()),
         registry=registry,
         force=types.SimpleNamespace(catalog=None),
     )
@@ -48,8 +48,8 @@
     first.answer(WORD)
     second.answer(WORD)
     first.end()
-    assert node.work.at('i-1').running == 3
+    assert node.work.load_of('i-1').running == 3
     assert LEAF in node.roster.leaves
     second.end()
-    assert node.work.at('i-1').running == 0
+    assert node.work.load_of('i-1').running == 0
     assert LEAF not in node.roster.leaves
--- a/test/gateway/test_leader_tasks.py
+++ b/test/gateway/test_leader_tasks.py
@@ -14,7 +14,7 @@
 from standins.platform import objects
 
 WINDOW_S = 5.0
-TERMS = leader_tasks.Terms(WINDOW_S, 10.0)
+TERMS = leader_tasks.ReportTiming(WINDOW_S, 10.0)
 
 
 class Cloud:
@@ -37,7 +37,7 @@
 
     def __init__(self, table, cloud, name, wall):
         self.store = memory_store.MemoryStore(table)
-        self.counts = usage_counter.Counts(wall, WINDOW_S)
+        self.counts = usage_counter.UsageCounter(wall, WINDOW_S)
         record = memberships.Record(name, 'a', '', 0, {})
         self.members = memberships.Members(
             self.store, name, record, self.counts, clock.trio_time_s, 400
@@ -75,10 +75,10 @@
         nursery.start_soon(process.members.run)
     nursery.start_soon(one.reporter.run, one.authority)
     await trio.sleep(1)
-    one.counts.began('club')
-    two.counts.began('club')
-    two.counts.began('guild')
-    two.counts.began(None)
+    one.counts.count_start('club')
+    two.counts.count_start('club')
+    two.counts.count_start('guild')
+    two.counts.count_start(None)
     await trio.sleep(15)
     assert cloud.reports[0] == (0, {'club': 2, 'guild': 1})
     assert [window for window, _ in cloud.reports] == [0, 1]
@@ -89,7 +89,7 @@
 ):
     cloud, one, two = pair
     nursery.start_soon(one.members.run)
-    two.counts.began('club')
+    two.counts.count_start('club')
     await two.members.beat()
     nursery.start_soon(one.reporter.run, one.authority)
     await trio.sleep(12)
@@ -105,7 +105,7 @@
     window with different figures break the users' trust in both.
     """
     cloud, one, two = pair
-    one.counts.began('club')
+    one.counts.count_start('club')
     await one.members.beat()
     cloud.lost = 1
     with trio.move_on_after(10.2):
@@ -131,7 +131,7 @@
     await trio.sleep(20)
     nursery.start_soon(two.members.run)
     await trio.sleep(2)
-    least_s = leader_tasks.watch_s(3.0)
+    least_s = leader_tasks.takeover_delay_s(3.0)
     assert one.members.candidates(least_s) == ('p1',)
     await trio.sleep(10)
     assert one.members.candidates(least_s) == ('p1', 'p2')
@@ -144,7 +144,10 @@
     nursery.start_soon(one.members.run)
     nursery.start_soon(two.members.run)
     await trio.sleep(2)
-    assert one.members.candidates(leader_tasks.watch_s(3.0)) == ('p1', 'p2')
+    assert one.members.candidates(leader_tasks.takeover_delay_s(3.0)) == (
+        'p1',
+        'p2',
+    )
 
 
 async def test_an_unreadable_seal_is_not_reported(pair, autojump_clock):
@@ -168,7 +171,7 @@
     _, one, _ = pair
     one.store.faults.lose_answers = lost
     for number in range(20):
-        one.counts.began('club')
+        one.counts.count_start('club')
         await one.members.beat()
         await trio.sleep(0.1)
         del number
--- a/test/gateway/test_placement.py
+++ b/test/gateway/test_placement.py
@@ -36,18 +36,20 @@
 
     def __init__(self):
         self.now_s = 0.0
-        self.work = replica_load.Loads(lambda: self.now_s)
-        self.cache = prefix_index.PrefixCache()
+        self.work = replica_load.LoadTracker(lambda: self.now_s)
+        self.cache = prefix_index.PrefixIndex()
         self.placement = placement.Placement(
             'a',
             self.work,
             self.cache,
-            prefill_costs.ReadCosts(),
+            prefill_costs.PrefillCosts(),
             random.Random(7),
         )
 
     def stream(self, found, wanted):
-        return self.placement.stream(found, wanted, ENGINE, BODY_BYTES, found)
+        return self.placement.plan_stream(
+            found, wanted, ENGINE, BODY_BYTES, found
+        )
 
 
 FLEET = [
@@ -61,8 +63,8 @@
 def test_a_long_prompt_is_read_by_a_reader():
     model = Model()
     plan = model.stream(FLEET, prompt(13300, 3700))
-    assert plan.reader.stage == 'prefill'
-    assert plan.unread_tokens == 17000
+    assert plan.prefill_replica.stage == 'prefill'
+    assert plan.uncached_tokens == 17000
 
 
 def test_shared_parts_are_sought_where_they_lie():
@@ -70,8 +72,8 @@
     wanted = prompt(13300, 3700)
     model.cache.expect('reader-2', wanted, ENGINE.kv_tokens)
     plan = model.stream(FLEET, prompt(13300, 3800))
-    assert plan.reader.name == 'reader-2'
-    assert plan.unread_tokens == 3800
+    assert plan.prefill_replica.name == 'reader-2'
+    assert plan.uncached_tokens == 3800
 
 
 def test_a_crowded_home_is_left():
@@ -80,7 +82,9 @@
     model.cache.expect('reader-1', prompt(13300, 3700), ENGINE.kv_tokens)
     model.work.begin('reader-1', 1.6, 1.6)
     plan = model.stream(FLEET, prompt(13300, 3800))
-    assert plan.reader is None or plan.reader.name == 'reader-2'
+    assert (
+        plan.prefill_replica is None or plan.prefill_replica.name == 'reader-2'
+    )
 
 
 def test_reads_are_kept_off_makers_with_streams():
@@ -95,19 +99,23 @@
     for _ in range(20):
         model.work.begin('maker-1')
     plan = model.stream(FLEET, prompt(13300, 2000))
-    assert plan.reader.name == 'reader-1'
-    assert plan.maker.name == 'maker-2'
+    assert plan.prefill_replica.name == 'reader-1'
+    assert plan.decode_replica.name == 'maker-2'
 
 
 def test_peers_loads_count_and_are_forgotten():
     model = Model()
-    model.work.tell('peer', {'maker-1': replica_load.Load(60, 0)})
+    model.work.update_peer('peer', {'maker-1': replica_load.Load(60, 0)})
     makers = FLEET[2:]
     short = prompt(100, 200)
-    names = {model.stream(makers, short).maker.name for _ in range(20)}
+    names = {
+        model.stream(makers, short).decode_replica.name for _ in range(20)
+    }
     assert names == {'maker-2'}
-    model.now_s += replica_load.PEER_MEMORY_S + 0.1
-    names = {model.stream(makers, short).maker.name for _ in range(20)}
+    model.now_s += replica_load.PEER_TIMEOUT_S + 0.1
+    names = {
+        model.stream(makers, short).decode_replica.name for _ in range(20)
+    }
     assert names == {'maker-1', 'maker-2'}
 
 
@@ -120,7 +128,7 @@
     for name, count in (('near', near), ('far', far)):
         for _ in range(count):
             model.work.begin(name)
-    assert model.placement.plain(found).name == wanted
+    assert model.placement.choose_plain(found).name == wanted
 
 
 @pytest.mark.parametrize('found', [[], FLEET[:2]])
@@ -162,7 +170,9 @@
 
     def by_cache(wanted):
         plan = model.stream(readers, wanted)
-        name = plan.reader.name if plan.reader else 'reader-1'
+        name = (
+            plan.prefill_replica.name if plan.prefill_replica else 'reader-1'
+        )
         model.cache.expect(name, wanted, 16 * 14300)
         return name
 
@@ -200,10 +210,10 @@
     # The warm one has much to read already.
     model.work.begin('reader-1', 2.4, 2.4)
     plan = model.stream(fleet, prompt(shared, 3700))
-    reader = plan.reader or plan.maker
+    reader = plan.prefill_replica or plan.decode_replica
     assert reader.name != 'reader-1'
     assert plan.copy.tokens == copied
-    assert plan.unread_tokens == shared + 3700 - copied
+    assert plan.uncached_tokens == shared + 3700 - copied
     assert plan.copy.address == (warm.address if copied else None)
 
 
@@ -235,7 +245,7 @@
     model.work.begin('reader-1', 1.0, 1.0)
     model.work.begin('reader-2', 1.0, 1.0)
     plan = model.stream(FLEET, prompt(100, 200))
-    assert plan.reader is None
+    assert plan.prefill_replica is None
 
 
 @pytest.mark.parametrize(
@@ -250,7 +260,7 @@
     model = Model()
     model.work.begin('reader-1', 0.5, 1.5)
     model.now_s = now_s
-    assert model.work.at('reader-1') == replica_load.Load(1, left_ms)
+    assert model.work.load_of('reader-1') == replica_load.Load(1, left_ms)
 
 
 @pytest.mark.parametrize(
@@ -265,7 +275,7 @@
     model = Model()
     model.work.begin('maker-1', 0.1, 0.2, more_s=2.0)
     model.now_s = now_s
-    assert model.work.at('maker-1').unread_ms == left_ms
+    assert model.work.load_of('maker-1').queued_prefill_ms == left_ms
 
 
 def test_a_choice_among_many_replicas_is_quick():
--- a/test/gateway/test_placement_under_load.py
+++ b/test/gateway/test_placement_under_load.py
@@ -73,9 +73,9 @@
         self.found = fleet()
         self.free_s = {replica.name: 0.0 for replica in self.found}
         self.kept = {replica.name: set() for replica in self.found}
-        self.work = replica_load.Loads(lambda: self.now_s)
-        self.cache = prefix_index.PrefixCache()
-        self.costs = prefill_costs.ReadCosts()
+        self.work = replica_load.LoadTracker(lambda: self.now_s)
+        self.cache = prefix_index.PrefixIndex()
+        self.costs = prefill_costs.PrefillCosts()
         self.placement = placement.Placement(
             'a', self.work, self.cache, self.costs, random.Random(seed)
         )
@@ -89,7 +89,7 @@
             kept |= self.kept[copied_from]
         unread = sum(p.tokens for p in prompt.parts if p.name not in kept)
         kept |= {part.name for part in prompt.parts}
-        _, thousands, pairs = prefill_costs.terms(unread, prompt.tokens)
+        _, thousands, pairs = prefill_costs.features(unread, prompt.tokens)
         work_s = thousands * FIGURES[1] + pairs * FIGURES[2]
         if replica.stage == 'decode':
             work_s *= MAKER_TIMES
@@ -109,24 +109,27 @@
 
     def by_plan(self, prompt):
         """Send a prompt as planned; return when its first event comes."""
-        plan = self.placement.stream(
+        plan = self.placement.plan_stream(
             self.found, prompt, ENGINE, 17000, self.found
         )
-        reader = plan.reader or plan.maker
+        reader = plan.prefill_replica or plan.decode_replica
         source = plan.copy.address
         source = source.partition(':')[0] if source else None
         ends_s = self.read(reader, prompt, source)
         sent = self.work.begin(
-            reader.name, plan.work_s, self.now_s + plan.read_s, plan.more_s
+            reader.name,
+            plan.work_s,
+            self.now_s + plan.prefill_end_s,
+            plan.miss_penalty_s,
         )
         self.cache.expect(reader.name, prompt, ENGINE.kv_tokens)
-        took_s = ends_s - self.now_s - plan.copy.takes_s - plan.queued_s
+        took_s = ends_s - self.now_s - plan.copy.duration_s - plan.queued_s
 
         def end():
             self.work.end(sent)
             self.cache.confirm(reader.name, prompt)
-            self.costs.note(
-                's', reader.stage, plan.unread_tokens, prompt.tokens, took_s
+            self.costs.record(
+                's', reader.stage, plan.uncached_tokens, prompt.tokens, took_s
             )
 
         self.at_end(ends_s, end)
@@ -134,7 +137,9 @@
 
     def by_running(self, prompt):
         """Send a prompt to the replica with the fewest requests."""
-        reader = min(self.found, key=lambda r: self.work.at(r.name).running)
+        reader = min(
+            self.found, key=lambda r: self.work.load_of(r.name).running
+        )
         ends_s = self.read(reader, prompt)
         sent = self.work.begin(reader.name)
         self.at_end(ends_s, lambda: self.work.end(sent))
--- a/test/gateway/test_remote_prefill.py
+++ b/test/gateway/test_remote_prefill.py
@@ -98,7 +98,9 @@
         arrivals = sum(replica.arrivals for replica in models(site))
         read = set(site.replica('i-reader').reads)
         part = RATIO * requests + ALLOWANCE
-        assert arrivals - len(read) - requests <= retry_budget.SAFETY * part
+        assert (
+            arrivals - len(read) - requests <= retry_budget.SAFETY_SHARE * part
+        )
 
 
 async def test_a_reader_that_is_gone_is_not_asked_each_time(tmp_path):
--- a/test/gateway/test_replica_load.py
+++ b/test/gateway/test_replica_load.py
@@ -19,7 +19,7 @@
     found = {}
     for part in parts:
         for name, load in part.items():
-            known = found.get(name, replica_load.NOTHING)
+            known = found.get(name, replica_load.IDLE)
             found[name] = replica_load.Load(
                 *map(sum, zip(known, load, strict=True))
             )
@@ -30,13 +30,13 @@
 def test_sums_are_those_of_a_twin_that_adds_anew(seed):
     """Peers tell, fall silent, and are forgotten, in any order."""
     chance, clock = random.Random(seed), Clock()
-    work = replica_load.Loads(clock)
+    work = replica_load.LoadTracker(clock)
     told = {}
     for _ in range(300):
         clock.now_s += chance.uniform(0, 0.3)
         peer = f'p{chance.randrange(6)}'
         if chance.random() < 0.1:
-            work.forget(peer)
+            work.remove_peer(peer)
             told.pop(peer, None)
         else:
             part = {
@@ -45,31 +45,35 @@
                 )
                 for _ in range(chance.randrange(4))
             }
-            work.tell(peer, part)
+            work.update_peer(peer, part)
             told[peer] = (clock.now_s, part)
         # A silent peer is dropped within a tenth of a second more.
-        clock.now_s += replica_load.EXPIRE_S
-        oldest_s = clock.now_s - replica_load.PEER_MEMORY_S
+        clock.now_s += replica_load.EXPIRY_INTERVAL_S
+        oldest_s = clock.now_s - replica_load.PEER_TIMEOUT_S
         told = {n: found for n, found in told.items() if found[0] >= oldest_s}
         parts = {name: part for name, (_, part) in told.items()}
         everything = summed(parts.values())
         for number in range(8):
             name = f'i-{number}'
-            assert work.at(name) == everything.get(name, replica_load.NOTHING)
+            assert work.load_of(name) == everything.get(
+                name, replica_load.IDLE
+            )
         others = summed(p for n, p in parts.items() if n != peer)
         busy = {
-            n: one for n, one in others.items() if one != replica_load.NOTHING
+            n: one for n, one in others.items() if one != replica_load.IDLE
         }
-        assert work.without(peer) == busy
+        assert work.excluding(peer) == busy
 
 
 def test_a_hub_passes_on_its_leaves_and_its_own():
     clock = Clock()
-    work = replica_load.Loads(clock)
-    work.tell('leaf', {'i-1': replica_load.Load(2, 100)}, passed_on=True)
-    work.tell('hub', {'i-1': replica_load.Load(7, 300)})
+    work = replica_load.LoadTracker(clock)
+    work.update_peer(
+        'leaf', {'i-1': replica_load.Load(2, 100)}, from_leaf=True
+    )
+    work.update_peer('hub', {'i-1': replica_load.Load(7, 300)})
     sent = work.begin('i-1', 0.5, 9.0)
-    assert work.part() == {'i-1': replica_load.Load(3, 600)}
-    assert work.without('leaf') == {'i-1': replica_load.Load(8, 800)}
+    assert work.subtree() == {'i-1': replica_load.Load(3, 600)}
+    assert work.excluding('leaf') == {'i-1': replica_load.Load(8, 800)}
     work.end(sent)
-    assert work.part() == {'i-1': replica_load.Load(2, 100)}
+    assert work.subtree() == {'i-1': replica_load.Load(2, 100)}
--- a/test/gateway/test_retry_budget.py
+++ b/test/gateway/test_retry_budget.py
@@ -6,7 +6,7 @@
 
 from gentianstair.gateway import retry_budget
 
-TERMS = retry_budget.Terms(ratio=0.2, allowance=52, window_s=10.0)
+LIMITS = retry_budget.Limits(ratio=0.2, allowance=52, window_s=10.0)
 
 
 class Clock:
@@ -28,7 +28,7 @@
     chance = random.Random(seed)
     clock = Clock()
     fleet = [
-        retry_budget.Repeats(lambda: TERMS, clock, lambda: vms)
+        retry_budget.RetryBudget(lambda: LIMITS, clock, lambda: vms)
         for _ in range(vms)
     ]
     first, again = [], []
@@ -36,16 +36,16 @@
         clock.now_s += chance.expovariate(40)
         # A few VMs get most of the requests.
         vm = fleet[min(vms - 1, int(chance.expovariate(6 / vms)))]
-        vm.request('desk')
+        vm.record_request('desk')
         first.append(clock.now_s)
-        if vm.take('desk'):
+        if vm.try_spend('desk'):
             again.append(clock.now_s)
     assert len(again) > 20
     for end_s in again:
-        window = (end_s - TERMS.window_s, end_s)
+        window = (end_s - LIMITS.window_s, end_s)
         repeated = sum(window[0] < at_s <= window[1] for at_s in again)
         asked = sum(window[0] < at_s <= window[1] for at_s in first)
-        assert repeated <= TERMS.ratio * asked + TERMS.allowance
+        assert repeated <= LIMITS.ratio * asked + LIMITS.allowance
 
 
 @pytest.mark.parametrize('kills_s', [(0.0,), (3.0,), (2.0, 4.0), (9.0,)])
@@ -60,34 +60,34 @@
 
     def start():
         return [
-            retry_budget.Repeats(lambda: TERMS, clock, lambda: vms)
+            retry_budget.RetryBudget(lambda: LIMITS, clock, lambda: vms)
             for _ in range(vms)
         ]
 
     fleet = start()
-    clock.now_s += 2 * TERMS.window_s
+    clock.now_s += 2 * LIMITS.window_s
     begin_s = clock.now_s
     again = []
     kills = list(kills_s)
-    while clock.now_s < begin_s + 2 * TERMS.window_s:
+    while clock.now_s < begin_s + 2 * LIMITS.window_s:
         if kills and clock.now_s >= begin_s + kills[0]:
             kills.pop(0)
             fleet = start()
         for vm in fleet:
-            while vm.take('desk'):
+            while vm.try_spend('desk'):
                 again.append(clock.now_s)
         clock.now_s += 0.1
     for end_s in again:
-        spent = sum(end_s - TERMS.window_s < at_s <= end_s for at_s in again)
-        assert spent <= TERMS.allowance
+        spent = sum(end_s - LIMITS.window_s < at_s <= end_s for at_s in again)
+        assert spent <= LIMITS.allowance
 
 
 def test_services_do_not_share():
     clock = Clock()
-    one = retry_budget.Repeats(lambda: TERMS, clock, lambda: 60)
-    clock.now_s += TERMS.window_s
-    assert not one.take('desk')
+    one = retry_budget.RetryBudget(lambda: LIMITS, clock, lambda: 60)
+    clock.now_s += LIMITS.window_s
+    assert not one.try_spend('desk')
     for _ in range(20):
-        one.request('desk')
-    assert one.take('desk')
-    assert not one.take('models')
+        one.record_request('desk')
+    assert one.try_spend('desk')
+    assert not one.try_spend('models')
--- a/test/gateway/test_usage_report_protocol.py
+++ b/test/gateway/test_usage_report_protocol.py
@@ -92,7 +92,7 @@
     async def live(self, name, at_first):
         process = chaos.Process(self.world, name, self.chances)
         store = chaos.ChaosStore(process)
-        counts = usage_counter.Counts(trio.current_time, WINDOW_S)
+        counts = usage_counter.UsageCounter(trio.current_time, WINDOW_S)
         record = memberships.Record(self.name, 'a', '', 0, {})
         members = memberships.Members(
             store, name, record, counts, process.clock, 400
@@ -104,7 +104,7 @@
             members,
             cloud,
             counts,
-            leader_tasks.Terms(WINDOW_S, 10.0),
+            leader_tasks.ReportTiming(WINDOW_S, 10.0),
             trio.current_time,
         )
         async with trio.open_nursery() as nursery:
@@ -122,7 +122,7 @@
     async def count(self, counts):
         while True:
             await trio.sleep(self.world.random.uniform(0, 0.5))
-            counts.began(self.world.random.choice(('club', 'guild')))
+            counts.count_start(self.world.random.choice(('club', 'guild')))
 
     async def candidates(self, members, leases):
         while True:
@@ -207,7 +207,7 @@
     """Return what is counted now, as if there were no seals."""
     records = await self._members.records()
     parts = [memberships.counts_of(record) for record in records]
-    return usage_counter.total(parts, window)
+    return usage_counter.window_total(parts, window)
 
 
 @pytest.mark.parametrize(
--- a/test/platform/test_decoders.py
+++ b/test/platform/test_decoders.py
@@ -50,7 +50,7 @@
     found = registry.decode(entry(stage='prefill', spot=True))
     assert found.name == 'i-1'
     assert found.failure_domain == 'a'
-    assert found.orders_taken == 3
+    assert found.accepted_orders == 3
     assert found.stage == 'prefill'
     assert found.reclaimable
     assert not found.draining
@@ -101,7 +101,7 @@
 def test_a_configuration():
     found = configuration.decode(site.CONFIG)
     assert found.version == 7
-    assert found.keyed
+    assert found.requires_keys
     assert found.customers['guild-key-1'].priority == 0
     assert found.services['models'].engine.kv_tokens == 400000
     assert found.limits.idle_s == 15.0
