--- a/gentianstair/gateway/autoscaling.py
+++ b/gentianstair/gateway/autoscaling.py
@@ -1,12 +1,10 @@
-"""Decide how many replicas of which kind to order in each failure domain.
-
-Replicas that may be reclaimed cost a fraction of the others, and the
-platform takes back those of a whole failure domain at a few seconds' notice.
-So the work is carried by more of them than are needed, spread evenly, and
-the dear ones fill only what is missing while too few cheap ones are there.
-The load this answers is a mix of reading and drafting that shifts within
-seconds, while a replica takes seconds to start: what is not there when a
-shift comes does not come in time.
+"""Decide how many replicas to order in each failure domain.
+
+Reclaimable replicas cost a fraction of on-demand ones, but the platform
+reclaims all of a failure domain at a few seconds' notice. So more of them are
+ordered than the load needs, spread evenly, and on-demand replicas fill in
+only while too few reclaimable ones are running. Load shifts within seconds
+while a replica takes seconds to start, so the spare replicas are kept running.
 """
 
 import typing
@@ -14,26 +12,26 @@
 from gentianstair.gateway import catalog
 from gentianstair.gateway import replicas
 
-# Cheap replicas are ordered until they cost this share of what the fleet
-# that the operator started with costs. Half leaves the other half of the
-# spend saved, and with prices of a fifth it buys more than twice the fleet.
+# Share of the cost of the operator's initial fleet that reclaimable replicas
+# may cost in all.
 SPEND_SHARE = 0.5
-# An order is repeated when its replicas are not there this long after they
-# could have started.
+# An order is repeated if its replicas are missing for this long after their
+# boot time.
 ORDER_TIMEOUT_S = 4.0
-# Pause before asking again where there were none to be had.
+# Delay before the next order where no replica was available.
 UNAVAILABLE_RETRY_S = 1.5
 
 
-# A replica that has been there for so long keeps the prompts most asked for.
+# A replica counts as warm after this time: it then caches the prefixes that
+# are in demand.
 WARMUP_S = 6.0
-# Dear replicas are let go one by one: each takes along what it keeps of
-# prompts, and those who need that wait until it is read again.
+# Minimum time between two releases of on-demand replicas: the prefixes cached
+# at a released replica must be computed again elsewhere.
 RELEASE_INTERVAL_S = 2.5
 
 
 class Order(typing.NamedTuple):
-    """How many replicas of a kind a failure domain is to have."""
+    """The number of replicas that a failure domain should have."""
 
     service: str
     failure_domain: str
@@ -42,14 +40,14 @@
 
 
 class DesiredCounts(typing.NamedTuple):
-    """Counts by failure domain for each kind."""
+    """The desired number of replicas by failure domain."""
 
     reclaimable: dict[str, int]
     on_demand: dict[str, int]
 
 
 def spread(
-    total: int, domains: typing.Sequence[str], most: int
+    total: int, domains: typing.Sequence[str], max_per_domain: int
 ) -> dict[str, int]:
     """Return an even spread over domains, the first ones first.
 
@@ -59,17 +57,17 @@
     {'a': 3, 'b': 3}
     """
     counts = dict.fromkeys(domains, 0)
-    left = min(total, most * len(domains))
+    left = min(total, max_per_domain * len(domains))
     while left > 0:
         for domain in domains:
-            if left > 0 and counts[domain] < most:
+            if left > 0 and counts[domain] < max_per_domain:
                 counts[domain] += 1
                 left -= 1
     return counts
 
 
 def reclaimable_target(baseline: int, scaling: catalog.Scaling) -> int:
-    """Return how many cheap replicas to have in all.
+    """Return the desired number of reclaimable replicas in all.
 
     >>> prices = {'a': 1.0, 'b': 1.0}
     >>> reclaimable_target(4, catalog.Scaling(1, 9, 4.0, 0.25, prices))
@@ -84,11 +82,11 @@
 
 
 def count_by_domain(
-    found: typing.Iterable[replicas.Replica], reclaimable: bool
+    fleet: typing.Iterable[replicas.Replica], reclaimable: bool
 ) -> dict[str, int]:
-    """Return the replicas of a kind by failure domain."""
+    """Return the number of replicas of a kind that are not draining."""
     counts: dict[str, int] = {}
-    for replica in found:
+    for replica in fleet:
         if replica.reclaimable == reclaimable and not replica.draining:
             domain = replica.failure_domain
             counts[domain] = counts.get(domain, 0) + 1
@@ -98,29 +96,34 @@
 def desired_counts(
     scaling: catalog.Scaling,
     baseline: int,
-    found: typing.Sequence[replicas.Replica],
+    fleet: typing.Sequence[replicas.Replica],
     warm: typing.Collection[str],
 ) -> DesiredCounts:
-    """Return what a service is to have, given what it has.
+    """Return the desired replicas of a service with a given fleet.
 
-    baseline is how many replicas the operator started with. The dear ones
-    make up for cheap ones that are not there; those that run stay until as
-    many cheap ones are warm, by name in warm. New ones start in the
-    cheapest domains.
+    baseline is the size of the operator's initial fleet, and warm names the
+    warm replicas. Running on-demand replicas stay until baseline reclaimable
+    ones are warm. New on-demand replicas start in the cheapest domains.
     """
     domains = sorted(scaling.prices, key=lambda d: (scaling.prices[d], d))
     total = reclaimable_target(baseline, scaling)
-    there = count_by_domain(found, True)
-    have = count_by_domain(found, False)
-    cold = baseline - count_warm(found, warm)
+    reclaimable = count_by_domain(fleet, True)
+    running = count_by_domain(fleet, False)
+    shortfall = baseline - count_warm(fleet, warm)
     on_demand = dict.fromkeys(domains, 0)
-    for domain in sorted(domains, key=lambda d: -have.get(d, 0)):
-        room = scaling.max_replicas - there.get(domain, 0)
-        on_demand[domain] = max(0, min(cold, have.get(domain, 0), room))
-        cold -= on_demand[domain]
-    missing = baseline - sum(there.values()) - sum(on_demand.values())
+    for domain in sorted(domains, key=lambda d: -running.get(d, 0)):
+        room = scaling.max_replicas - reclaimable.get(domain, 0)
+        on_demand[domain] = max(
+            0, min(shortfall, running.get(domain, 0), room)
+        )
+        shortfall -= on_demand[domain]
+    missing = baseline - sum(reclaimable.values()) - sum(on_demand.values())
     for domain in domains * scaling.max_replicas:
-        room = scaling.max_replicas - there.get(domain, 0) - on_demand[domain]
+        room = (
+            scaling.max_replicas
+            - reclaimable.get(domain, 0)
+            - on_demand[domain]
+        )
         if missing > 0 and room > 0:
             on_demand[domain] += 1
             missing -= 1
@@ -130,71 +133,78 @@
 
 
 def count_warm(
-    found: typing.Iterable[replicas.Replica], warm: typing.Collection[str]
+    fleet: typing.Iterable[replicas.Replica], warm: typing.Collection[str]
 ) -> int:
-    """Return how many cheap replicas have been there for a while."""
+    """Return how many reclaimable replicas are warm and not draining."""
     return sum(
         replica.reclaimable and not replica.draining and replica.name in warm
-        for replica in found
+        for replica in fleet
     )
 
 
 class OrderPlanner:
-    """Turns what is wanted into orders, each repeated only when due."""
+    """Turns desired counts into orders; repeats each only when due."""
 
     def __init__(self) -> None:
-        # When each replica was first seen.
-        self._seen_s: dict[str, float] = {}
-        self._let_go_s = 0.0
-        # Until when an order is left to take effect, by its subject.
-        self._until_s: dict[tuple[str, str, bool], float] = {}
-        self._last: dict[tuple[str, str, bool], int] = {}
-        # How many were there at the last look.
-        self._had: dict[tuple[str, str, bool], int] = {}
+        # When each replica was first seen, by its name.
+        self._first_seen_s: dict[str, float] = {}
+        self._next_release_s = 0.0
+        # The following are by service, failure domain and reclaimable.
+        # Until when an accepted or refused order isn't repeated.
+        self._hold_until_s: dict[tuple[str, str, bool], float] = {}
+        # The count last ordered.
+        self._last_ordered: dict[tuple[str, str, bool], int] = {}
+        # The count running at the last call of due_orders().
+        self._last_running: dict[tuple[str, str, bool], int] = {}
 
     def warm_names(
-        self, found: typing.Sequence[replicas.Replica], now_s: float
+        self, fleet: typing.Sequence[replicas.Replica], now_s: float
     ) -> set[str]:
-        """Return the names of replicas that have been seen for WARMUP_S."""
-        names = {replica.name for replica in found}
-        self._seen_s = {name: self._seen_s.get(name, now_s) for name in names}
+        """Return the names of replicas first seen over WARMUP_S ago."""
+        names = {replica.name for replica in fleet}
+        self._first_seen_s = {
+            name: self._first_seen_s.get(name, now_s) for name in names
+        }
         return {
-            n for n, at_s in self._seen_s.items() if now_s - at_s > WARMUP_S
+            name
+            for name, at_s in self._first_seen_s.items()
+            if now_s - at_s > WARMUP_S
         }
 
     def due_orders(
         self,
         service: str,
         scaling: catalog.Scaling,
-        wanted: DesiredCounts,
-        found: typing.Sequence[replicas.Replica],
+        desired: DesiredCounts,
+        fleet: typing.Sequence[replicas.Replica],
         now_s: float,
     ) -> list[Order]:
-        """Return the orders to give now, cheap replicas first."""
+        """Return the orders to give now, reclaimable replicas first."""
         orders = []
-        dear = count_by_domain(found, False)
-        kinds = ((True, wanted.reclaimable), (False, wanted.on_demand))
+        on_demand = count_by_domain(fleet, False)
+        kinds = ((True, desired.reclaimable), (False, desired.on_demand))
         for reclaimable, counts in kinds:
-            have = count_by_domain(found, reclaimable)
+            running = count_by_domain(fleet, reclaimable)
             for domain, number in counts.items():
                 key = (service, domain, reclaimable)
                 if reclaimable:
-                    # The most that a domain may have holds for both kinds.
+                    # The limit of a domain holds for both kinds together.
                     number = min(
-                        number, scaling.max_replicas - dear.get(domain, 0)
+                        number, scaling.max_replicas - on_demand.get(domain, 0)
                     )
-                elif number < have.get(domain, 0):
-                    if now_s < self._let_go_s:
+                elif number < running.get(domain, 0):
+                    if now_s < self._next_release_s:
                         continue
-                    number = have[domain] - 1
-                    self._let_go_s = now_s + RELEASE_INTERVAL_S
-                if have.get(domain, 0) < self._had.get(key, 0):
-                    # Reclaimed: what was ordered before them has come.
-                    self._until_s.pop(key, None)
-                self._had[key] = have.get(domain, 0)
-                waits = now_s < self._until_s.get(key, 0.0)
-                repeated = self._last.get(key) == number
-                if have.get(domain, 0) == number or (waits and repeated):
+                    number = running[domain] - 1
+                    self._next_release_s = now_s + RELEASE_INTERVAL_S
+                if running.get(domain, 0) < self._last_running.get(key, 0):
+                    # Replicas were reclaimed after the last order took
+                    # effect, so it may be repeated at once.
+                    self._hold_until_s.pop(key, None)
+                self._last_running[key] = running.get(domain, 0)
+                held = now_s < self._hold_until_s.get(key, 0.0)
+                repeated = self._last_ordered.get(key) == number
+                if running.get(domain, 0) == number or (held and repeated):
                     continue
                 orders.append(Order(service, domain, reclaimable, number))
         return orders
@@ -202,14 +212,14 @@
     def record_accepted(
         self, order: Order, scaling: catalog.Scaling, now_s: float
     ) -> None:
-        """Note an order that was accepted."""
-        self._note(order, now_s + scaling.boot_s + ORDER_TIMEOUT_S)
+        """Record an order that was accepted."""
+        self._hold(order, now_s + scaling.boot_s + ORDER_TIMEOUT_S)
 
     def record_unavailable(self, order: Order, now_s: float) -> None:
-        """Note that there were none to be had."""
-        self._note(order, now_s + UNAVAILABLE_RETRY_S)
+        """Record an order that was refused, as no replica is available."""
+        self._hold(order, now_s + UNAVAILABLE_RETRY_S)
 
-    def _note(self, order: Order, until_s: float) -> None:
+    def _hold(self, order: Order, until_s: float) -> None:
         key = (order.service, order.failure_domain, order.reclaimable)
-        self._until_s[key] = until_s
-        self._last[key] = order.count
+        self._hold_until_s[key] = until_s
+        self._last_ordered[key] = order.count
--- a/gentianstair/gateway/catalog.py
+++ b/gentianstair/gateway/catalog.py
@@ -1,4 +1,4 @@
-"""Hold the operator's configuration: routes, services, customers, keys."""
+"""Define the operator's configuration: routes, services, customers."""
 
 import enum
 import typing
@@ -7,7 +7,7 @@
 
 
 class CallKind(enum.Enum):
-    """Say what of a route's requests may be repeated."""
+    """Whether and how a route's requests may be retried."""
 
     IDEMPOTENT = 'idempotent'
     AT_MOST_ONCE = 'at most once'
@@ -15,58 +15,63 @@
 
 
 class Route(typing.NamedTuple):
-    """One route; requests of its host below its prefix follow it."""
+    """A route of the requests with a host and a path prefix."""
 
     name: str
     host: str
     path_prefix: str
     kind: CallKind
-    # The longest time that a caller may be kept waiting.
+    # The deadline of a request, from its arrival.
     timeout_s: float
-    # The time to the answer, or to a stream's first event, that earns all.
+    # The latency objective: to the answer, or to a stream's first event.
     objective_s: float
-    # The longest pause between a stream's events that is still on time.
+    # The latency objective between two events of a stream.
     max_pause_s: float
     # 0 is the most urgent.
     priority: int
     # Services and their weights.
     targets: tuple[tuple[str, float], ...]
     max_attempts: int
-    # Needs no key.
+    # Whether requests need no key.
     public: bool
-    # Carries prompts whose shared parts are worth a known replica.
-    shares_prompts: bool
+    # Whether requests carry prompts with shared prefixes.
+    carries_prompts: bool
+    # Whether streams may be resumed at another replica.
     resumable: bool
 
     @property
-    def repeatable(self) -> bool:
-        """Return whether a request that may have run may run again."""
+    def retryable(self) -> bool:
+        """Return whether a request that may have run may be retried."""
         if self.kind is CallKind.STREAM:
             return self.resumable
         return self.kind is CallKind.IDEMPOTENT
 
 
 class Engine(typing.NamedTuple):
-    """What all model replicas of a service have in common."""
+    """The properties that all model replicas of a service share."""
 
+    # Streams that a replica runs at the same time.
     slots: int
+    # Capacity of the KV cache.
     kv_tokens: int
     kv_token_bytes: int
     link_mbps: float
+    # How long a replica holds a KV cache that nobody takes.
     kv_hold_s: float
     stage_change_s: float
     models: tuple[str, ...]
-    # Calls for changes of its cache that a replica keeps waiting.
+    # Cache event calls that may wait at a replica at the same time.
     max_cache_calls: int = 12
 
 
 class Scaling(typing.NamedTuple):
-    """How many replicas of a service may be ordered in a failure domain."""
+    """The bounds and prices of ordering replicas of a service."""
 
+    # In each failure domain.
     min_replicas: int
     max_replicas: int
     boot_s: float
-    # The price of a replica that may be reclaimed, over that of another.
+    # The price of a reclaimable replica relative to an on-demand one.
     reclaimable_price: float
     # The price of a replica by failure domain.
     prices: dict[str, float]
@@ -83,34 +88,34 @@
 
 
 class Limits(typing.NamedTuple):
-    """What a caller may send, and how long it may take."""
+    """The limits of a caller's requests and connections."""
 
-    header_bytes: int = 16384
-    body_bytes: int = 4194304
-    header_s: float = 3.0
-    idle_s: float = 15.0
+    max_header_bytes: int = 16384
+    max_body_bytes: int = 4194304
+    header_timeout_s: float = 3.0
+    idle_timeout_s: float = 15.0
 
 
 class Customer(typing.NamedTuple):
-    """A customer; its priority, if any, goes before a route's."""
+    """A customer; its priority, if any, overrides the route's."""
 
     name: str
     priority: int | None
 
 
 class Catalog(typing.NamedTuple):
-    """One version of the configuration, ready for lookups.
+    """One version of the configuration, indexed for lookups.
 
-    ``raw`` is what the operator wrote, for peers that cannot read it.
+    ``raw`` is the operator's object, for peers that can't read the store.
     """
 
     version: int
-    # By host, the longest prefix first.
+    # By host, the longest path prefix first.
     routes: dict[str, tuple[Route, ...]]
     services: dict[str, Service]
-    # By key.
+    # By API key.
     customers: dict[str, Customer]
-    # Whether keys are asked for at all.
+    # Whether routes that are not public require a key.
     requires_keys: bool
     limits: Limits
     raw: dict[str, typing.Any]
@@ -124,10 +129,10 @@
 
 
 def pick_service(route: Route, request_id: str) -> str:
-    """Return the service of one request by the weights of its route.
+    """Return the service of a request by the weights of its route.
 
-    The request's id decides, so that a request that is looked at twice
-    goes to the same service. A route without a service has none: ''.
+    It depends only on the request's id, so that a repeated lookup gives the
+    same service. It is empty for a route without services.
     """
     if not route.targets:
         return ''
--- a/gentianstair/gateway/handler.py
+++ b/gentianstair/gateway/handler.py
@@ -198,7 +198,7 @@
         # Read before any answer: a connection whose request was not read
         # to its end can't be used again, and its caller would not know.
         body = await exchange.read_body(
-            limits.body_bytes, call.patience_s or limits.idle_s
+            limits.max_body_bytes, call.patience_s or limits.idle_timeout_s
         )
         found = await self._catalog(call)
         if found is None:
--- a/gentianstair/gateway/leader_tasks.py
+++ b/gentianstair/gateway/leader_tasks.py
@@ -1,7 +1,7 @@
-"""Do what one process of the fleet does at a time, under a lease.
+"""Report usage from the one process that holds the leader lease.
 
-The holder reports the usage of each window. What it reports is first created
-as an object: whoever comes after reports the same figures again.
+The counts of each window are sealed in the store before they are reported, so
+that a later leader that repeats the report sends the same counts.
 """
 
 import typing
@@ -23,27 +23,30 @@
 SEAL_KIND = 'usage-seal'
 PURPOSE = 'usage'
 POLL_S = 0.5
-# Share of the time allowed for a report after which the figures are sealed.
-# Before it, processes that could not reach the store for some seconds still
-# add their counts; after it, a new holder still has time to report.
+# Share of the time allowed for a report after which the counts are sealed. It
+# leaves time for processes that were cut off from the store to add their
+# counts, and for a new leader to report.
 SEAL_SHARE = 0.5
-# How long after a beat was due its counts are there, with a margin.
+# Margin after a heartbeat is due until its counts are in the store.
 COUNTS_WRITTEN_S = 1.0
-# Left of the time allowed for sealing and reporting.
+# Time reserved for sealing and reporting.
 REPORT_RESERVE_S = 2.5
+# Windows whose seals are kept after they were reported.
 KEPT_SEALS = 8
+# Added to the lease duration for which a leader rests after its lease.
 REST_MARGIN_S = 0.5
 
 
 class ReportTiming(typing.NamedTuple):
-    """How long usage windows are, and when reports are due."""
+    """The length of usage windows, and the time allowed for reports."""
 
     window_s: float
-    late_s: float
+    # From the end of the window.
+    max_delay_s: float
 
 
 class UsageReporter:
-    """Seals windows and reports them, each with one set of figures."""
+    """Seals the counts of each window once, and reports them."""
 
     def __init__(
         self,
@@ -51,65 +54,66 @@
         members: memberships.Members,
         cloud: clouds.Cloud,
         counts: usage_counter.UsageCounter,
-        terms: ReportTiming,
+        timing: ReportTiming,
         wall: typing.Callable[[], float],
     ) -> None:
         self._store = store
         self._members = members
         self._cloud = cloud
         self._counts = counts
-        self._terms = terms
+        self._timing = timing
         self._wall = wall
-        # Windows from the one in which this process started are its duty;
-        # earlier ones have been reported by another.
-        self._next = counts.current_window()
+        # Windows before the start of this process are reported by others.
+        self._next_window = counts.current_window()
 
     async def run(self, authority: lease.Authority) -> None:
-        """Report windows as they become due, while authority stands."""
-        late = int(self._terms.late_s // self._terms.window_s) + 1
-        self._next = max(self._next, self._counts.current_window() - late)
+        """Report windows as they become due, until authority ends."""
+        overdue = int(self._timing.max_delay_s // self._timing.window_s) + 1
+        self._next_window = max(
+            self._next_window, self._counts.current_window() - overdue
+        )
         while True:
             authority.check()
             try:
                 await self._report_due(authority)
             except (errors.StoreError, errors.UpstreamError) as error:
                 loguru.logger.bind(
-                    event=events.REPORT_FAILED, window=self._next
+                    event=events.REPORT_FAILED, window=self._next_window
                 ).warning('a usage report failed: {}', error)
             await trio.sleep(POLL_S)
 
     def _due_s(self, window: int) -> float:
         """Return when a window is sealed.
 
-        In a large fleet processes write their counts less often, and the
-        last ones of the window must be there.
+        The heartbeats with its last counts come first. They are less
+        frequent in a large fleet.
         """
-        end_s = (window + 1) * self._terms.window_s
+        end_s = (window + 1) * self._timing.window_s
         written_s = self._members.beat_s + COUNTS_WRITTEN_S
-        latest_s = self._terms.late_s - REPORT_RESERVE_S
+        latest_s = self._timing.max_delay_s - REPORT_RESERVE_S
         return end_s + max(
-            SEAL_SHARE * self._terms.late_s, min(written_s, latest_s)
+            SEAL_SHARE * self._timing.max_delay_s, min(written_s, latest_s)
         )
 
     async def _report_due(self, authority: lease.Authority) -> None:
-        while self._wall() >= self._due_s(self._next):
-            window = self._next
-            counts = await self._sealed(window)
+        while self._wall() >= self._due_s(self._next_window):
+            window = self._next_window
+            counts = await self._seal(window)
             await self._cloud.report_usage(authority, window, counts)
             loguru.logger.bind(
                 event=events.USAGE_REPORTED,
                 window=window,
                 epoch=authority.epoch,
             ).info('reported {} requests', sum(counts.values()))
-            self._next = window + 1
-            await self._drop_old(window - KEPT_SEALS)
+            self._next_window = window + 1
+            await self._delete_seal(window - KEPT_SEALS)
             await self._members.forget_old()
 
-    async def _sealed(self, window: int) -> dict[str, int]:
-        """Return a window's figures; the first that sealed it decides."""
-        found = await self._seal(window)
-        if found is not None:
-            return found
+    async def _seal(self, window: int) -> dict[str, int]:
+        """Return a window's counts; seal them unless they are sealed."""
+        known = await self._read_seal(window)
+        if known is not None:
+            return known
         records = await self._members.records()
         parts = [memberships.counts_of(record) for record in records]
         counts = usage_counter.window_total(parts, window)
@@ -119,13 +123,13 @@
                 self._store, SEAL_KIND, str(window), value, 0, purpose=PURPOSE
             )
         except errors.StoreConflictError:
-            other = await self._seal(window)
+            other = await self._read_seal(window)
             if other is None:
                 raise
             return other
         return counts
 
-    async def _seal(self, window: int) -> dict[str, int] | None:
+    async def _read_seal(self, window: int) -> dict[str, int] | None:
         item = await self._store.get(SEAL_KIND, str(window), purpose=PURPOSE)
         if item.value is None:
             return None
@@ -134,7 +138,7 @@
         except (KeyError, TypeError, msgspec.ValidationError) as error:
             raise errors.StoreUnavailableError(f'seal {window}: {error}')
 
-    async def _drop_old(self, window: int) -> None:
+    async def _delete_seal(self, window: int) -> None:
         item = await self._store.get(SEAL_KIND, str(window), purpose=PURPOSE)
         if item.value is not None:
             await self._store.delete(
@@ -143,10 +147,11 @@
 
 
 def lease_terms(lease_s: float) -> lease.Terms:
-    """Return the lease's terms from the time in which holders may not turn.
+    """Return the terms of the leader lease.
 
-    A holder acts for less than lease_s after its last renewal and its
-    successor waits for longer, so two never act within it by turns.
+    A leader acts for less than lease_s after its last renewal, and its
+    successor waits for longer, so that two leaders never alternate within
+    lease_s.
     """
     return lease.Terms(
         duration_s=lease_s,
@@ -156,6 +161,6 @@
 
 
 def takeover_delay_s(lease_s: float) -> float:
-    """Return how long a new process rests and then watches a lease."""
+    """Return how long a new process waits before it can take the lease."""
     terms = lease_terms(lease_s)
     return terms.rest_s + terms.duration_s + terms.margin_s
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -305,7 +305,7 @@
 def _idle_limit_s(node: nodes.Node) -> float:
     """Return how long callers may leave a connection idle and reuse it."""
     found = node.force.catalog
-    return found.limits.idle_s if found else 0.0
+    return found.limits.idle_timeout_s if found else 0.0
 
 
 async def _leave(node: nodes.Node, asked: trio.Event) -> None:
--- a/gentianstair/gateway/monitoring.py
+++ b/gentianstair/gateway/monitoring.py
@@ -1,4 +1,4 @@
-"""Answer the platform's balancer, and show metrics."""
+"""Serve the readiness check and the metrics."""
 
 import msgspec
 import prometheus_client
@@ -15,7 +15,7 @@
 
 
 def not_ready_reason(node: nodes.Node) -> str | None:
-    """Return why callers should not be sent here, or None."""
+    """Return why this process is not ready for callers, or None."""
     if node.leaving.is_set():
         return 'leaving'
     if not node.is_informed():
@@ -28,24 +28,22 @@
 
 
 def make_readiness_app(node: nodes.Node) -> asgi.App:
-    """Return the application of the address that the balancer asks."""
+    """Return the application that the load balancer checks."""
 
     async def serve(exchange: exchanges.Exchange) -> None:
         if exchange.path != READY_PATH:
             await _not_found(exchange)
             return
         why = not_ready_reason(node)
-        found = (
-            {'ready': True} if why is None else {'ready': False, 'why': why}
-        )
+        body = {'ready': True} if why is None else {'ready': False, 'why': why}
         status = 200 if why is None else 503
-        await exchange.answer(status, JSON, msgspec.json.encode(found))
+        await exchange.answer(status, JSON, msgspec.json.encode(body))
 
     return asgi.make_app(serve)
 
 
 def make_metrics_app() -> asgi.App:
-    """Return the application of the metrics address."""
+    """Return the application that serves the metrics."""
 
     async def serve(exchange: exchanges.Exchange) -> None:
         if exchange.path != METRICS_PATH:
@@ -61,5 +59,5 @@
 
 
 async def serve_until_cancelled() -> None:
-    """Serve until cancelled: the balancer asks to the very end."""
+    """Never return: the load balancer checks until the process ends."""
     await trio.sleep_forever()
--- a/gentianstair/gateway/plain.py
+++ b/gentianstair/gateway/plain.py
@@ -39,7 +39,7 @@
     left_s = task.left_s()
     silence_s = SILENCE_OBJECTIVES * task.route.objective_s
     last = task.ran + 1 >= task.route.max_attempts
-    if last or not task.route.repeatable or left_s < 2 * silence_s:
+    if last or not task.route.retryable or left_s < 2 * silence_s:
         return left_s
     return silence_s
 
--- a/gentianstair/gateway/prefix_index.py
+++ b/gentianstair/gateway/prefix_index.py
@@ -1,4 +1,4 @@
-"""Believe which parts of prompts each replica keeps in its KV cache."""
+"""Track which prompt parts each replica holds in its KV cache."""
 
 import collections
 import typing
@@ -6,18 +6,18 @@
 from gentianstair.gateway import calls
 
 
-class _Part(typing.NamedTuple):
+class _CachedPart(typing.NamedTuple):
     tokens: int
-    # Whether the replica has said so, or a read of it has ended. One that is
-    # only being read can't be copied to another replica yet.
+    # Whether the replica reported the part, or a prefill of it has ended.
+    # Parts whose prefill is running can't be copied to other replicas yet.
     confirmed: bool
 
 
 class _ReplicaCache:
-    """One replica's parts, the least recently used first."""
+    """The parts at one replica, the least recently used first."""
 
     def __init__(self) -> None:
-        self.parts: collections.OrderedDict[str, _Part] = (
+        self.parts: collections.OrderedDict[str, _CachedPart] = (
             collections.OrderedDict()
         )
         self.tokens = 0
@@ -31,10 +31,9 @@
             )
         if tokens:
             self.tokens += tokens
-            self.parts[name] = _Part(tokens, confirmed)
+            self.parts[name] = _CachedPart(tokens, confirmed)
 
-    def kept(self, part: calls.PromptPart, confirmed: bool) -> int:
-        """Return how many tokens of a part are kept."""
+    def cached_tokens(self, part: calls.PromptPart, confirmed: bool) -> int:
         known = self.parts.get(part.name)
         if known is None or (confirmed and not known.confirmed):
             return 0
@@ -42,17 +41,20 @@
 
 
 class PrefixIndex:
-    """What each replica is believed to keep, from events and sendings."""
+    """The parts at each replica, by cache events and requests sent there.
+
+    It may be out of date: replicas evict parts before their events arrive.
+    """
 
     def __init__(self) -> None:
-        self._kept: dict[str, _ReplicaCache] = {}
-        # The replicas that keep a part, by its name.
+        self._caches: dict[str, _ReplicaCache] = {}
+        # The replicas that hold a part, by the part's name.
         self._holders: dict[str, set[str]] = {}
 
     def forget(self, replica: str) -> None:
-        """Forget a replica that left, or started again with nothing."""
-        kept = self._kept.pop(replica, None)
-        for name in kept.parts if kept else ():
+        """Drop the parts of a replica that left or has restarted."""
+        cache = self._caches.pop(replica, None)
+        for name in cache.parts if cache else ():
             self._drop_holder(replica, name)
 
     def _drop_holder(self, replica: str, name: str) -> None:
@@ -63,24 +65,24 @@
                 del self._holders[name]
 
     def replicas(self) -> typing.Iterable[str]:
-        """Return the replicas that something is believed of."""
-        return list(self._kept)
+        """Return the names of the replicas in the index."""
+        return list(self._caches)
 
     def holders(self, prompt: calls.Prompt) -> typing.Collection[str]:
-        """Return the replicas that keep the beginning of a prompt."""
+        """Return the replicas that hold the first part of a prompt."""
         if not prompt.parts:
             return ()
         return self._holders.get(prompt.parts[0].name, ())
 
     def update(self, replica: str, part: str, tokens: int) -> None:
-        """Take what a replica says it keeps of a part."""
+        """Record how many tokens of a part a replica reports as cached."""
         self._set(replica, part, tokens, confirmed=True)
 
     def _set(
         self, replica: str, part: str, tokens: int, confirmed: bool
     ) -> None:
-        kept = self._kept.setdefault(replica, _ReplicaCache())
-        kept.set(part, tokens, confirmed)
+        cache = self._caches.setdefault(replica, _ReplicaCache())
+        cache.set(part, tokens, confirmed)
         if tokens:
             self._holders.setdefault(part, set()).add(replica)
         else:
@@ -89,49 +91,50 @@
     def expect(
         self, replica: str, prompt: calls.Prompt, capacity_tokens: int
     ) -> list[str]:
-        """Note that a prompt is being read; its parts will be kept.
+        """Add the parts of a prompt whose prefill begins at a replica.
 
-        Requests that share a part and arrive before the replica's event
-        says so would each be read elsewhere. Parts past the replica's
-        memory, the least recently used, are believed gone. Return the names
-        of those that are new.
+        So requests that share a part are sent to the same replica before its
+        cache event arrives. The least recently used parts beyond the
+        replica's capacity are dropped. Return the names of the new parts.
         """
-        kept = self._kept.setdefault(replica, _ReplicaCache())
-        new = [p.name for p in prompt.parts if p.name not in kept.parts]
+        cache = self._caches.setdefault(replica, _ReplicaCache())
+        new = [p.name for p in prompt.parts if p.name not in cache.parts]
         for part in prompt.parts:
             self._set(replica, part.name, part.tokens, confirmed=False)
-        while kept.tokens > capacity_tokens and len(kept.parts) > 1:
-            self._set(replica, next(iter(kept.parts)), 0, confirmed=False)
+        while cache.tokens > capacity_tokens and len(cache.parts) > 1:
+            self._set(replica, next(iter(cache.parts)), 0, confirmed=False)
         return new
 
     def confirm(self, replica: str, prompt: calls.Prompt) -> None:
-        """Note that a prompt has been read."""
-        kept = self._kept.get(replica)
-        for part in prompt.parts if kept else ():
-            if part.name in kept.parts:
+        """Mark the parts of a prompt as cached after its prefill."""
+        cache = self._caches.get(replica)
+        for part in prompt.parts if cache else ():
+            if part.name in cache.parts:
                 self._set(replica, part.name, part.tokens, confirmed=True)
 
     def retract(self, replica: str, parts: typing.Iterable[str]) -> None:
-        """Take back what was expected of a read that failed."""
-        if replica in self._kept:
+        """Drop the parts that expect() added for a prefill that failed."""
+        if replica in self._caches:
             for part in parts:
                 self._set(replica, part, 0, confirmed=False)
 
     def uncached_tokens(
         self, replica: str, prompt: calls.Prompt, confirmed: bool = False
     ) -> int:
-        """Return how many tokens of a prompt the replica must read.
+        """Return how many tokens of a prompt a replica must compute.
 
-        A part counts only if all parts before it are cached whole, and with
-        confirmed only if its prefill has ended.
+        A part counts as cached only if all parts before it are cached whole.
+        With confirmed, parts whose prefill is running don't count.
         """
-        kept = self._kept.get(replica)
-        total = max(prompt.tokens, sum(part.tokens for part in prompt.parts))
-        if kept is None:
-            return total
+        cache = self._caches.get(replica)
+        uncached = max(
+            prompt.tokens, sum(part.tokens for part in prompt.parts)
+        )
+        if cache is None:
+            return uncached
         for part in prompt.parts:
-            found = kept.kept(part, confirmed)
-            total -= found
-            if found < part.tokens:
+            cached = cache.cached_tokens(part, confirmed)
+            uncached -= cached
+            if cached < part.tokens:
                 break
-        return total
+        return uncached
--- a/gentianstair/gateway/remote_prefill.py
+++ b/gentianstair/gateway/remote_prefill.py
@@ -1,8 +1,8 @@
-"""Have one request's prompt read apart from the replica that makes output.
+"""Run the prefill of a request apart from its decode replica.
 
-A read runs nothing: its failure never means that the request may have run.
-The KV cache that it leaves belongs to this request and is taken once, or
-freed.
+A prefill runs no request: after its failure the request has certainly not
+run. The KV cache that it leaves belongs to this request, and is taken by one
+decode replica or freed.
 """
 
 import typing
@@ -19,15 +19,16 @@
 from gentianstair.platform import wire
 
 
-class _Kept(typing.NamedTuple):
-    """A KV cache that nobody has taken yet."""
+class _HeldKv(typing.NamedTuple):
+    """A KV cache that no decode replica has taken yet."""
 
     source: calls.KvSource
-    reader: str
+    # The name of the prefill replica that holds it.
+    replica: str
 
 
 class RemotePrefill:
-    """The reads of one request's prompt, and the KV cache of the last."""
+    """The prefills of one request, and the KV cache of the last one."""
 
     def __init__(
         self,
@@ -39,44 +40,44 @@
         self._node = task.node
         self._prompt = prompt
         self._engine = engine
-        self._kept: _Kept | None = None
-        # Reads that reached a reader; the users count all but the first.
-        self._reads = 0
+        self._held: _HeldKv | None = None
+        # Prefills that reached a replica. All but the first count as retries.
+        self._attempts = 0
 
     @property
     def source(self) -> calls.KvSource | None:
-        """Return where the KV cache lies, None if there is none."""
-        return self._kept.source if self._kept else None
+        """Return where the KV cache is, or None if there is none."""
+        return self._held.source if self._held else None
 
-    def may_read(self) -> bool:
-        """Say whether to have the prompt read.
+    def may_prefill(self) -> bool:
+        """Return whether the retry budget allows a prefill now.
 
-        The first read is no repeat if a replica accepts it. It may be
-        refused, so while replicas refuse or fail the budget must have room
-        for one more. All other reads are repeats.
+        The first prefill costs nothing if it is accepted, but a refused one
+        costs a retry. So while this VM spends retries, one must be left.
+        Every further prefill is a retry.
         """
-        repeats, service = self._node.repeats, self._task.service
-        if self._reads:
-            return repeats.try_spend(service)
-        return not repeats.spent(service) or repeats.remaining(service) >= 1
-
-    async def read(self, plan: placement.Plan, urgency: int) -> None:
-        """Have the prompt read as planned; raise UpstreamError."""
-        reader = plan.prefill_replica
-        assert reader is not None
+        budget, service = self._node.repeats, self._task.service
+        if self._attempts:
+            return budget.try_spend(service)
+        return not budget.spent(service) or budget.remaining(service) >= 1
+
+    async def prefill(self, plan: placement.Plan, urgency: int) -> None:
+        """Run the prefill of a plan; raise UpstreamError."""
+        replica = plan.prefill_replica
+        assert replica is not None
         task, node = self._task, self._node
         started_s = node.clock()
-        sent = node.work.begin(
-            reader.name,
+        request = node.work.begin(
+            replica.name,
             plan.work_s,
             started_s + plan.prefill_end_s,
             plan.miss_penalty_s,
         )
         expected = node.cache.expect(
-            reader.name, self._prompt, self._engine.kv_tokens
+            replica.name, self._prompt, self._engine.kv_tokens
         )
         sending = task.sending(
-            reader,
+            replica,
             reads_only=True,
             copy_from=plan.copy.address,
             urgency=urgency,
@@ -85,79 +86,78 @@
         try:
             answer = await forward.ask(node, task.call, sending)
             source = wire.decode_handle(
-                reader.address, answer.status, answer.body
+                replica.address, answer.status, answer.body
             )
         except errors.UpstreamError as error:
-            node.cache.retract(reader.name, expected)
+            node.cache.retract(replica.name, expected)
             failure = _failure(error, answer)
-            self._failed(reader, failure, started_s)
+            self._failed(replica, failure, started_s)
             raise failure from error
         finally:
-            node.work.end(sent)
-        self._reads += 1
-        self._kept = _Kept(source, reader.name)
+            node.work.end(request)
+        self._attempts += 1
+        self._held = _HeldKv(source, replica.name)
         took_s = node.clock() - started_s
-        reading.note(task, self._prompt, reader, plan, took_s)
+        reading.note(task, self._prompt, replica, plan, took_s)
 
     def _failed(
         self,
-        reader: replicas.Replica,
+        replica: replicas.Replica,
         error: errors.UpstreamError,
         started_s: float,
     ) -> None:
-        """Note a read that failed, and spend what its arrival costs.
+        """Record a failed prefill, and charge the retry budget for it.
 
-        The users let the first read pass that a replica accepts. One that
-        is refused is an arrival like others.
+        Only the first prefill that a replica accepts is free of charge.
         """
         task = self._task
         if not isinstance(error, errors.UnreachableError):
             task.failed_reads += 1
-            if not self._reads:
+            if not self._attempts:
                 task.node.repeats.spend(task.service)
-            self._reads += 1
-        task.tried.add(reader.name)
+            self._attempts += 1
+        task.tried.add(replica.name)
         task.sent += 1
-        task.failed(reader, error, started_s, reads=True)
+        task.failed(replica, error, started_s, reads=True)
 
     def taken(self) -> None:
-        """Note that a replica took the KV cache."""
-        self._kept = None
+        """Record that a decode replica took the KV cache."""
+        self._held = None
 
     def not_taken(self, error: errors.UpstreamError) -> None:
-        """Keep the KV cache for the next maker, or free it.
+        """Keep the KV cache for the next decode replica, or free it.
 
-        A maker that could not be reached, or is another replica by now, has
-        not touched it. Reading the prompt anew would be one more arrival at
-        the service, and its time.
+        A decode replica that could not be reached, or that has restarted
+        since, left the KV cache untouched. Keeping it saves a retry and the
+        time of another prefill.
         """
         if isinstance(error, errors.UnreachableError):
             return
-        changed = (
+        restarted = (
             isinstance(error, errors.TurnedAwayError)
             and error.status == wire.HTTP_MISDIRECTED
         )
-        if not changed:
-            # It may have been the KV cache that could not be had.
+        if not restarted:
+            # The failure may be that the KV cache could not be fetched.
             self.free()
 
     def free(self) -> None:
-        """Free a KV cache that nobody will take."""
-        if self._kept is None:
+        """Free the KV cache that no replica will take, if there is one."""
+        if self._held is None:
             return
         self._node.nursery.start_soon(
             forward.release_kv,
             self._node,
-            self._kept.reader,
-            self._kept.source,
+            self._held.replica,
+            self._held.source,
         )
-        self._kept = None
+        self._held = None
 
 
 def _failure(
     error: errors.UpstreamError, answer: forward.Answer | None
 ) -> errors.UpstreamError:
-    """Return what the failure of a read means for its request."""
+    """Return the error of a request whose prefill failed."""
     if isinstance(error, errors.UnreachableError):
         return error
     if answer is not None and answer.verdict is verdicts.Verdict.NOT_RUN:
--- a/gentianstair/gateway/replica_load.py
+++ b/gentianstair/gateway/replica_load.py
@@ -1,4 +1,4 @@
-"""Know what each replica has to do: by this VM, and by what peers say."""
+"""Track the load of each replica, caused by this VM and by its peers."""
 
 import math
 import typing
@@ -7,191 +7,201 @@
 
 from gentianstair.util import clock as clocks
 
-# Peers tell their load several times a second; one that was silent for
-# longer may be gone, and what it had sent with it.
+# The load that a peer reported expires after this silence. Peers report
+# several times a second.
 PEER_TIMEOUT_S = 1.5
-# Part of its work for which a read counts that should have ended by now.
+# An overdue prefill counts for at least this share of its work.
 MIN_OVERDUE_SHARE = 0.3
-# Peers are told at once of a read that keeps its replica busy for so long:
-# in the time to the next regular word several prompts would queue behind it.
+# Prefills at least this long are reported to peers at once: before the next
+# regular report, peers would queue several prompts behind them.
 LONG_PREFILL_S = 0.08
-# How often peers that have been silent are looked for.
+# Minimum time between two searches for peers that timed out.
 EXPIRY_INTERVAL_S = 0.1
 
 
 class Load(typing.NamedTuple):
-    """Work at one replica."""
+    """The load of one replica."""
 
+    # Requests in flight.
     running: int = 0
-    # For how long the replica is busy with the prompts it has yet to read.
+    # How long the prefills that have not ended occupy the replica.
     queued_prefill_ms: int = 0
 
 
 IDLE = Load()
 
 
-def encode(found: dict[str, Load]) -> dict[str, list[int]]:
-    """Return loads as peers are told of them."""
-    return {name: list(load) for name, load in found.items()}
+def encode(loads: dict[str, Load]) -> dict[str, list[int]]:
+    """Return loads in the form of peer messages."""
+    return {name: list(load) for name, load in loads.items()}
 
 
-def decode(told: dict[str, list[int]]) -> dict[str, Load]:
-    """Return loads as a peer told them; others than pairs are left out."""
+def decode(rows: dict[str, list[int]]) -> dict[str, Load]:
+    """Return loads from a peer message, without rows of another length."""
     return {
         name: Load(*pair)
-        for name, pair in told.items()
+        for name, pair in rows.items()
         if len(pair) == len(IDLE)
     }
 
 
 class _PeerLoad(typing.NamedTuple):
-    at_s: float
+    reported_s: float
     loads: dict[str, Load]
-    # Whether this VM passes it on, as the hub of that peer.
+    # Whether the peer is a leaf of this hub.
     from_leaf: bool
 
 
 class ActiveRequest:
-    """One request at a replica, and the read of its prompt."""
+    """One request in flight at a replica, with its prefill."""
 
     def __init__(
-        self, replica: str, work_s: float, ends_s: float, more_s: float
+        self,
+        replica: str,
+        work_s: float,
+        prefill_end_s: float,
+        miss_penalty_s: float,
     ) -> None:
         self.replica = replica
         self._work_s = work_s
-        self._ends_s = ends_s
-        self._more_s = more_s
+        self._prefill_end_s = prefill_end_s
+        self._miss_penalty_s = miss_penalty_s
 
     def prefill_done(self) -> None:
-        """Note that the prompt has been read."""
-        self._work_s = self._more_s = 0.0
+        """Record the end of the prefill."""
+        self._work_s = self._miss_penalty_s = 0.0
 
     def remaining_prefill_s(self, now_s: float) -> float:
-        """Return how much of the read is still to be done.
+        """Return how much work of the prefill is left.
 
-        A read that waits for others counts whole; from when it is expected
-        to begin it counts less and less. When it is overdue, what should
-        have been kept or copied is being read after all: those behind it
-        wait for that, too.
+        While it is queued this is the whole work, and then what is left of
+        the expected time. An overdue prefill probably missed the cache or
+        its copy, so that the replica computes the whole prompt.
         """
         if not self._work_s:
             return 0.0
-        due_s = self._ends_s - now_s
+        due_s = self._prefill_end_s - now_s
         if due_s > 0:
             return min(self._work_s, due_s)
-        return max(MIN_OVERDUE_SHARE * self._work_s, due_s + self._more_s)
+        return max(
+            MIN_OVERDUE_SHARE * self._work_s, due_s + self._miss_penalty_s
+        )
 
 
-def _sum(sent: typing.Iterable[ActiveRequest], now_s: float) -> Load:
-    found = list(sent)
-    remaining_s = sum(one.remaining_prefill_s(now_s) for one in found)
-    return Load(len(found), round(remaining_s * 1000))
+def _sum(requests: typing.Iterable[ActiveRequest], now_s: float) -> Load:
+    active = list(requests)
+    remaining_s = sum(one.remaining_prefill_s(now_s) for one in active)
+    return Load(len(active), round(remaining_s * 1000))
 
 
-def _add(found: dict[str, Load], more: dict[str, Load], sign: int = 1) -> None:
-    """Add loads to others, or take them away with sign -1."""
-    for replica, load in more.items():
-        known = found.get(replica, IDLE)
+def _add(
+    totals: dict[str, Load], loads: dict[str, Load], sign: int = 1
+) -> None:
+    """Add loads to totals, or subtract them with sign -1."""
+    for replica, load in loads.items():
+        known = totals.get(replica, IDLE)
         total = Load(
             known.running + sign * load.running,
             known.queued_prefill_ms + sign * load.queued_prefill_ms,
         )
         if total == IDLE:
-            found.pop(replica, None)
+            totals.pop(replica, None)
         else:
-            found[replica] = total
+            totals[replica] = total
 
 
 class LoadTracker:
-    """The work at each replica, by its name."""
+    """The load of each replica, by the replica's name."""
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
         self._own: dict[str, set[ActiveRequest]] = {}
         self._peers: dict[str, _PeerLoad] = {}
-        # Set, and replaced, when a long read begins.
+        # Set, and replaced, when a long prefill begins.
         self._long_prefill = trio.Event()
-        # The sum over peers. A hub hears some tens of them several times a
-        # second, so it is kept up and not made anew.
-        self._others: dict[str, Load] = {}
+        # The sum over peers, kept up to date with each report: a hub gets
+        # some tens of reports several times a second.
+        self._peer_totals: dict[str, Load] = {}
         self._last_expiry_s = -math.inf
 
     def begin(
         self,
         replica: str,
         work_s: float = 0.0,
-        ends_s: float = 0.0,
-        more_s: float = 0.0,
+        prefill_end_s: float = 0.0,
+        miss_penalty_s: float = 0.0,
     ) -> ActiveRequest:
         """Count a request that is being sent; the caller ends it.
 
-        work_s is for how long the replica is busy reading its prompt, and
-        ends_s when that is expected to be over; more_s is how much longer
-        it takes if nothing of the prompt is kept.
+        Its prefill occupies the replica for work_s and is expected to end at
+        prefill_end_s. It takes miss_penalty_s longer if no part of the
+        prompt is cached.
         """
-        sent = ActiveRequest(replica, work_s, ends_s, more_s)
+        request = ActiveRequest(replica, work_s, prefill_end_s, miss_penalty_s)
         if work_s >= LONG_PREFILL_S:
             self._long_prefill.set()
             self._long_prefill = trio.Event()
-        self._own.setdefault(replica, set()).add(sent)
-        return sent
+        self._own.setdefault(replica, set()).add(request)
+        return request
 
     async def wait_long_prefill(self) -> None:
-        """Return when a long read begins."""
+        """Return when a long prefill begins."""
         await self._long_prefill.wait()
 
-    def end(self, sent: ActiveRequest) -> None:
-        """Count a request as over."""
-        running = self._own.get(sent.replica, set())
-        running.discard(sent)
+    def end(self, request: ActiveRequest) -> None:
+        """Remove a request that has ended."""
+        running = self._own.get(request.replica, set())
+        running.discard(request)
         if not running:
-            self._own.pop(sent.replica, None)
+            self._own.pop(request.replica, None)
 
     def local(self) -> dict[str, Load]:
-        """Return this VM's own work."""
+        """Return the load caused by this VM."""
         now_s = self._clock()
-        return {name: _sum(sent, now_s) for name, sent in self._own.items()}
+        return {
+            name: _sum(requests, now_s) for name, requests in self._own.items()
+        }
 
     def subtree(self) -> dict[str, Load]:
-        """Return what this VM answers for: its own work and its leaves'."""
-        found = self.local()
+        """Return the load caused by this VM and its leaves."""
+        totals = self.local()
         self._expire()
         for peer in self._peers.values():
             if peer.from_leaf:
-                _add(found, peer.loads)
-        return found
+                _add(totals, peer.loads)
+        return totals
 
     def excluding(self, process: str) -> dict[str, Load]:
-        """Return all work that is known but for one peer's own."""
+        """Return the known load without the part that one peer reported."""
         self._expire()
-        found = dict(self._others)
+        totals = dict(self._peer_totals)
         peer = self._peers.get(process)
         if peer is not None:
-            _add(found, peer.loads, -1)
-        _add(found, self.local())
-        return found
+            _add(totals, peer.loads, -1)
+        _add(totals, self.local())
+        return totals
 
     def update_peer(
         self, process: str, loads: dict[str, Load], from_leaf: bool = False
     ) -> None:
-        """Take a peer's part."""
+        """Replace the load that a peer reported."""
         self.remove_peer(process)
         self._peers[process] = _PeerLoad(self._clock(), loads, from_leaf)
-        _add(self._others, loads)
+        _add(self._peer_totals, loads)
 
     def remove_peer(self, process: str) -> None:
-        """Drop a peer's part, as it is over or another one now tells it."""
+        """Drop the load that a peer reported, if any."""
         peer = self._peers.pop(process, None)
         if peer is not None:
-            _add(self._others, peer.loads, -1)
+            _add(self._peer_totals, peer.loads, -1)
 
     def load_of(self, replica: str) -> Load:
-        """Return all work at a replica, as far as it is known."""
+        """Return the known load of a replica."""
         now_s = self._clock()
         self._expire()
-        sent = self._own.get(replica)
-        own = _sum(sent, now_s) if sent else IDLE
-        others = self._others.get(replica)
+        requests = self._own.get(replica)
+        own = _sum(requests, now_s) if requests else IDLE
+        others = self._peer_totals.get(replica)
         if others is None:
             return own
         return Load(
@@ -200,12 +210,16 @@
         )
 
     def _expire(self) -> None:
-        """Drop the parts of peers that have been silent, now and then."""
+        """Drop peers that timed out, at most once per interval."""
         now_s = self._clock()
         if now_s < self._last_expiry_s + EXPIRY_INTERVAL_S:
             return
         self._last_expiry_s = now_s
         oldest_s = now_s - PEER_TIMEOUT_S
-        gone = [n for n, peer in self._peers.items() if peer.at_s < oldest_s]
+        gone = [
+            name
+            for name, peer in self._peers.items()
+            if peer.reported_s < oldest_s
+        ]
         for name in gone:
             self.remove_peer(name)
--- a/gentianstair/gateway/replicas.py
+++ b/gentianstair/gateway/replicas.py
@@ -1,4 +1,4 @@
-"""Know the replicas of each service, and which of them may take work."""
+"""Keep the registered replicas of each service."""
 
 import typing
 
@@ -9,18 +9,17 @@
 from gentianstair.generated import events
 from gentianstair.util import clock as clocks
 
-# An entry that went missing while the store was away comes back within
-# about two seconds of the store's return if its replica lives; the rest is
-# for the answer that shows it.
+# How long entries that lapsed in an outage of the store are kept after it. A
+# replica that is alive registers again within about two seconds.
 REREGISTER_S = 2.3
-# Assumed until a configuration says it.
+# Limit of cache event calls until the configuration sets one.
 DEFAULT_CACHE_CALLS = 12
-# Names whose last change is kept for VMs that learn of replicas from here.
+# Bound of the change log for VMs that learn of replicas from this one.
 MAX_LOGGED_CHANGES = 20000
 
 
 class Replica(typing.NamedTuple):
-    """One start of one replica, as its entry in the store says."""
+    """One run of a replica, as registered in the store."""
 
     name: str
     service: str
@@ -30,34 +29,34 @@
     draining: bool
     # 'prefill' or 'decode' for model replicas, empty for others.
     stage: str
-    # Unix milliseconds of its start; a replica may start again under its
-    # name and then knows nothing of before.
+    # Unix time of its start. A replica that restarts under its name has an
+    # empty cache.
     started_ms: int
-    # Orders it has accepted since its start.
+    # Orders accepted since its start.
     accepted_orders: int
     reclaimable: bool
     models: tuple[str, ...]
 
 
 class Registry:
-    """The replicas in force, by service and by name."""
+    """The current replicas, by service and by name."""
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
         self._replicas: dict[str, Replica] = {}
-        # Those whose entry went missing while the store was away, with the
-        # time until which they are held to be alive.
-        self._missing: dict[str, float] = {}
-        self._by_service: dict[str, list[Replica]] = {}
-        # New, changed and gone (None) replicas, for VMs that learn from here.
+        # Replicas whose entry lapsed in an outage of the store, with the time
+        # until which they are kept.
+        self._lapsed_until_s: dict[str, float] = {}
+        self._usable: dict[str, list[Replica]] = {}
+        # New, changed and removed (None) replicas, for other VMs.
         self.changes: change_log.ChangeLog[str, Replica | None] = (
             change_log.ChangeLog(MAX_LOGGED_CHANGES)
         )
-        # When a replica was first seen to be draining.
-        self._draining_s: dict[str, float] = {}
-        # Calls for changes of its cache that a replica keeps waiting.
+        # When each draining replica was first seen to drain.
+        self._draining_since_s: dict[str, float] = {}
+        # Cache event calls that may wait at a replica at the same time.
         self.max_cache_calls = DEFAULT_CACHE_CALLS
-        # Set once a whole listing has been taken.
+        # Set after the first complete listing.
         self.loaded = trio.Event()
 
     def get(self, name: str) -> Replica | None:
@@ -65,38 +64,39 @@
         return self._replicas.get(name)
 
     def all(self) -> list[Replica]:
-        """Return all replicas, also those that leave."""
+        """Return all replicas, draining ones among them."""
         return list(self._replicas.values())
 
     def of_service(self, service: str) -> list[Replica]:
-        """Return all replicas of a service, also those that leave."""
+        """Return all replicas of a service, draining ones among them."""
         return [r for r in self._replicas.values() if r.service == service]
 
-    def copy_sources(self, service: str, leaving_s: float) -> list[Replica]:
-        """Return the replicas of a service whose memory is there for sure.
+    def copy_sources(self, service: str, max_drain_s: float) -> list[Replica]:
+        """Return the replicas of a service whose cache can be copied.
 
-        What a leaving one keeps goes with it, so it is wanted most, but
-        only for leaving_s, while it is sure to serve.
+        Draining replicas are among them for max_drain_s, while they are sure
+        to answer: their cache is lost when they stop.
         """
-        oldest_s = self._clock() - leaving_s
+        oldest_s = self._clock() - max_drain_s
         return [
             replica
             for replica in self.of_service(service)
-            if self._draining_s.get(replica.name, oldest_s + 1) > oldest_s
+            if self._draining_since_s.get(replica.name, oldest_s + 1)
+            > oldest_s
         ]
 
     def usable(self, service: str) -> list[Replica]:
         """Return the replicas of a service that may take new work."""
-        self._forget_missing()
-        return self._by_service.get(service, [])
+        self._remove_lapsed()
+        return self._usable.get(service, [])
 
     def replace(
         self, replicas: typing.Iterable[Replica], after_outage: bool
     ) -> None:
-        """Take a whole listing in place of what is known.
+        """Replace all replicas by a complete listing.
 
-        After an outage of the store an entry that is not listed may have
-        lapsed though its replica lives, so it is kept for REREGISTER_S.
+        After an outage of the store an unlisted entry may have lapsed while
+        its replica is alive, so it is kept for REREGISTER_S.
         """
         found = {replica.name: replica for replica in replicas}
         until_s = self._clock() + REREGISTER_S
@@ -105,28 +105,30 @@
                 continue
             if after_outage and not replica.draining:
                 found[name] = replica
-                self._missing.setdefault(name, until_s)
+                self._lapsed_until_s.setdefault(name, until_s)
             else:
                 self.changes.put(name, None)
-                _log_gone(replica, 'not listed')
-        for name in list(self._missing):
+                _log_removed(replica, 'not listed')
+        for name in list(self._lapsed_until_s):
             if name not in self._replicas or name not in found:
-                del self._missing[name]
+                del self._lapsed_until_s[name]
         for name, replica in found.items():
-            if not _same(self._replicas.get(name), replica):
+            if not _is_unchanged(self._replicas.get(name), replica):
                 self.changes.put(name, replica)
         self._replicas = found
         self.loaded.set()
         self._index()
 
     def put(self, replica: Replica) -> None:
-        """Take a new or changed entry."""
+        """Add or update a replica."""
         known = self._replicas.get(replica.name)
-        self._missing.pop(replica.name, None)
+        self._lapsed_until_s.pop(replica.name, None)
         self._replicas[replica.name] = replica
-        if not _same(known, replica):
+        if not _is_unchanged(known, replica):
             self.changes.put(replica.name, replica)
-            loguru.logger.bind(event=events.REPLICA, **_told(replica)).info(
+            loguru.logger.bind(
+                event=events.REPLICA, **_log_fields(replica)
+            ).info(
                 'replica {} is {}',
                 replica.name,
                 'draining' if replica.draining else 'ready',
@@ -134,31 +136,35 @@
             self._index()
 
     def remove(self, name: str) -> None:
-        """Drop a replica whose entry was removed."""
-        self._missing.pop(name, None)
+        """Remove a replica whose entry was removed."""
+        self._lapsed_until_s.pop(name, None)
         replica = self._replicas.pop(name, None)
         if replica is not None:
             self.changes.put(name, None)
-            _log_gone(replica, 'entry removed')
+            _log_removed(replica, 'entry removed')
             self._index()
 
     def confirm_listed(self, names: typing.Iterable[str]) -> None:
-        """Note that these are listed after all."""
+        """Record that these are registered, and must not lapse."""
         for name in names:
-            self._missing.pop(name, None)
+            self._lapsed_until_s.pop(name, None)
 
-    def _forget_missing(self) -> None:
-        if not self._missing:
+    def _remove_lapsed(self) -> None:
+        if not self._lapsed_until_s:
             return
         now_s = self._clock()
-        gone = [name for name, at_s in self._missing.items() if now_s >= at_s]
-        for name in gone:
+        expired = [
+            name
+            for name, at_s in self._lapsed_until_s.items()
+            if now_s >= at_s
+        ]
+        for name in expired:
             self.remove(name)
 
     def _index(self) -> None:
         now_s = self._clock()
-        self._draining_s = {
-            name: self._draining_s.get(name, now_s)
+        self._draining_since_s = {
+            name: self._draining_since_s.get(name, now_s)
             for name, replica in self._replicas.items()
             if replica.draining
         }
@@ -168,11 +174,11 @@
                 by_service.setdefault(replica.service, []).append(replica)
         for found in by_service.values():
             found.sort(key=lambda replica: replica.name)
-        self._by_service = by_service
+        self._usable = by_service
 
 
-def _same(known: Replica | None, replica: Replica) -> bool:
-    """Return whether an entry is as known but for its count of orders."""
+def _is_unchanged(known: Replica | None, replica: Replica) -> bool:
+    """Return whether an entry differs at most in accepted_orders."""
     if known is None:
         return False
     return known._replace(accepted_orders=0) == replica._replace(
@@ -180,7 +186,7 @@
     )
 
 
-def _told(replica: Replica) -> dict[str, typing.Any]:
+def _log_fields(replica: Replica) -> dict[str, typing.Any]:
     return {
         'replica': replica.name,
         'service': replica.service,
@@ -190,7 +196,7 @@
     }
 
 
-def _log_gone(replica: Replica, why: str) -> None:
-    loguru.logger.bind(event=events.REPLICA_GONE, **_told(replica)).info(
+def _log_removed(replica: Replica, why: str) -> None:
+    loguru.logger.bind(event=events.REPLICA_GONE, **_log_fields(replica)).info(
         'replica {} is gone: {}', replica.name, why
     )
--- a/gentianstair/gateway/retry_budget.py
+++ b/gentianstair/gateway/retry_budget.py
@@ -1,9 +1,8 @@
-"""Keep the fleet's repeats at a service within what the users allow.
+"""Keep the fleet's retries at a service within the users' limit.
 
-All VMs share one budget for each service: of the sendings in a window, those
-beyond the first of each request may be a share of the requests and some
-more. No VM asks another before it repeats. Each spends from the share that
-its own requests earn, and from an even part of the allowance.
+In a sliding window, all VMs together may send retries up to a share of the
+requests plus a fixed allowance. VMs don't coordinate: each spends what its
+own requests earn, and an even part of the allowance.
 """
 
 import collections
@@ -12,34 +11,36 @@
 
 from gentianstair.util import clock as clocks
 
-# Kept back from each VM's part: requests and repeats are counted by the
-# users in windows that do not begin where ours do.
+# Share of its part that each VM spends at most. The users' windows don't
+# begin at the same times as the windows here.
 SAFETY_SHARE = 0.7
 
 
 class Limits(typing.NamedTuple):
-    """What is allowed in each window, over all VMs."""
+    """The retries allowed in each window, over all VMs."""
 
+    # Retries for each request.
     ratio: float
+    # Retries besides these.
     allowance: float
     window_s: float
 
 
 class _Counts:
-    """Events of one service by time, forgotten after a window."""
+    """The times of one service's requests and retries in a window."""
 
     def __init__(self) -> None:
-        self.first: collections.deque[float] = collections.deque()
-        self.repeats: collections.deque[float] = collections.deque()
+        self.requests: collections.deque[float] = collections.deque()
+        self.retries: collections.deque[float] = collections.deque()
 
     def forget(self, before_s: float) -> None:
-        for times in (self.first, self.repeats):
+        for times in (self.requests, self.retries):
             while times and times[0] < before_s:
                 times.popleft()
 
 
 class RetryBudget:
-    """Say whether this VM may send a request once more."""
+    """The retries that this VM may send, by service."""
 
     def __init__(
         self,
@@ -54,39 +55,39 @@
         self._counts: dict[str, _Counts] = {}
         self._restarted_s = clock() if restarted else -math.inf
 
-    def _of(self, service: str) -> _Counts:
+    def _counts_of(self, service: str) -> _Counts:
         counts = self._counts.setdefault(service, _Counts())
         counts.forget(self._clock() - self._limits_of().window_s)
         return counts
 
     def record_request(self, service: str) -> None:
         """Count a caller's request for a service."""
-        self._of(service).first.append(self._clock())
+        self._counts_of(service).requests.append(self._clock())
 
     def remaining(self, service: str) -> float:
-        """Return how many repeats this VM may send now."""
+        """Return how many retries this VM may send now."""
         limits = self._limits_of()
-        counts = self._of(service)
+        counts = self._counts_of(service)
         allowance = limits.allowance / max(1, self._vm_count())
-        # A process that was restarted does not know what the one before it
-        # spent in this window. Its part grows as that leaves the window, and
-        # by half only, so that all VMs killed at once stay within it.
+        # A restarted process doesn't know what its predecessor spent in this
+        # window. Its allowance grows as that leaves the window, and only to a
+        # half, so that the fleet stays within the limit when all VMs restart.
         age = (self._clock() - self._restarted_s) / limits.window_s
         if age < 1:
             allowance *= age / 2
-        earned = limits.ratio * len(counts.first)
-        return SAFETY_SHARE * (earned + allowance) - len(counts.repeats)
+        earned = limits.ratio * len(counts.requests)
+        return SAFETY_SHARE * (earned + allowance) - len(counts.retries)
 
     def spent(self, service: str) -> int:
-        """Return how many repeats this VM sent in the last window."""
-        return len(self._of(service).repeats)
+        """Return how many retries this VM sent in the last window."""
+        return len(self._counts_of(service).retries)
 
     def spend(self, service: str) -> None:
-        """Count a repeat that has already been made, whatever is left."""
-        self._of(service).repeats.append(self._clock())
+        """Count a retry that was sent, even beyond the budget."""
+        self._counts_of(service).retries.append(self._clock())
 
     def try_spend(self, service: str) -> bool:
-        """Spend one repeat; say whether there was one."""
+        """Spend one retry; return False if none is left."""
         if self.remaining(service) < 1:
             return False
         self.spend(service)
--- a/gentianstair/gateway/streaming.py
+++ b/gentianstair/gateway/streaming.py
@@ -122,8 +122,8 @@
 
     async def _run(self, plan: placement.Plan) -> None:
         if plan.prefill_replica is not None and self._read.source is None:
-            if self._read.may_read():
-                await self._read.read(plan, self._urgency())
+            if self._read.may_prefill():
+                await self._read.prefill(plan, self._urgency())
             else:
                 plan = self._without_reader(plan)
         source = self._read.source
--- a/gentianstair/gateway/task.py
+++ b/gentianstair/gateway/task.py
@@ -182,7 +182,7 @@
         """Say whether a request may be sent once more after a failure."""
         if self.left_s() < LEAST_LEFT_S:
             return False
-        if last is not verdicts.Verdict.NOT_RUN and not self.route.repeatable:
+        if last is not verdicts.Verdict.NOT_RUN and not self.route.retryable:
             return False
         most = self.route.max_attempts
         if self.ran >= most or self.sent >= most + EXTRA_SENDINGS:
--- a/gentianstair/gateway/usage_counter.py
+++ b/gentianstair/gateway/usage_counter.py
@@ -1,17 +1,17 @@
-"""Count the requests that began to run, by window and customer."""
+"""Count started requests by usage window and customer."""
 
 import collections
 import typing
 
-# Windows kept by each process: the last one that can still be reported, and
-# one for clocks that differ.
+# Windows kept besides the current one: those that can still be reported, and
+# one for clock differences between VMs.
 KEPT_WINDOWS = 4
 
 Windows = dict[int, dict[str, int]]
 
 
 class UsageCounter:
-    """This process's counts; window k begins k times window_s after 1970."""
+    """Counts of this process; window k begins k * window_s after 1970."""
 
     def __init__(
         self, wall: typing.Callable[[], float], window_s: float
@@ -19,15 +19,15 @@
         self._wall = wall
         self._window_s = window_s
         self._windows: dict[int, collections.Counter[str]] = {}
-        # Rises with each count, so that a writer sees what is new.
+        # The number of requests counted so far.
         self.changes = 0
 
     def current_window(self) -> int:
-        """Return the window of this moment."""
+        """Return the number of the current window."""
         return int(self._wall() // self._window_s)
 
     def count_start(self, customer: str | None) -> None:
-        """Count a request that began to run now."""
+        """Count a request that has started; None is not billed."""
         if customer is None:
             return
         window = self.current_window()
@@ -40,19 +40,21 @@
         self.changes += 1
 
     def windows(self) -> Windows:
-        """Return the counts of the last windows."""
-        return {window: dict(c) for window, c in self._windows.items()}
+        """Return the counts of the kept windows."""
+        return {
+            window: dict(counts) for window, counts in self._windows.items()
+        }
 
 
 def window_total(
-    parts: typing.Iterable[Windows], window: int
+    processes: typing.Iterable[Windows], window: int
 ) -> dict[str, int]:
     """Return the counts of one window over all processes.
 
     >>> window_total([{7: {'a': 1}}, {7: {'a': 2, 'b': 1}, 8: {'a': 9}}], 7)
     {'a': 3, 'b': 1}
     """
-    found: collections.Counter[str] = collections.Counter()
-    for windows in parts:
-        found.update(windows.get(window, {}))
-    return dict(sorted(found.items()))
+    totals: collections.Counter[str] = collections.Counter()
+    for windows in processes:
+        totals.update(windows.get(window, {}))
+    return dict(sorted(totals.items()))
--- a/gentianstair/platform/configuration.py
+++ b/gentianstair/platform/configuration.py
@@ -111,7 +111,7 @@
         targets=targets,
         max_attempts=max(1, raw.max_attempts),
         public=raw.public,
-        shares_prompts=raw.sticky,
+        carries_prompts=raw.sticky,
         resumable=raw.resumable,
     )
 
--- a/test/gateway/test_placement.py
+++ b/test/gateway/test_placement.py
@@ -273,7 +273,7 @@
     nothing from when it should have ended.
     """
     model = Model()
-    model.work.begin('maker-1', 0.1, 0.2, more_s=2.0)
+    model.work.begin('maker-1', 0.1, 0.2, miss_penalty_s=2.0)
     model.now_s = now_s
     assert model.work.load_of('maker-1').queued_prefill_ms == left_ms
 
--- a/test/gateway/test_usage_report_protocol.py
+++ b/test/gateway/test_usage_report_protocol.py
@@ -224,7 +224,7 @@
 ):
     """Broken on purpose, the exploration finds the breach."""
     if not sealed:
-        monkeypatch.setattr(leader_tasks.UsageReporter, '_sealed', count_anew)
+        monkeypatch.setattr(leader_tasks.UsageReporter, '_seal', count_anew)
     broken = collections.Counter()
     for seed in range(10):
         broken += check(await explore(seed, guarded=guarded, chances=PAUSED))
--- a/test/platform/test_decoders.py
+++ b/test/platform/test_decoders.py
@@ -104,12 +104,12 @@
     assert found.requires_keys
     assert found.customers['guild-key-1'].priority == 0
     assert found.services['models'].engine.kv_tokens == 400000
-    assert found.limits.idle_s == 15.0
+    assert found.limits.idle_timeout_s == 15.0
     ask = found.route('judging.example', '/ask/x')
     assert ask.kind is catalog.CallKind.STREAM
-    assert ask.repeatable
+    assert ask.retryable
     draft = found.route('judging.example', '/draft/x')
-    assert not draft.repeatable
+    assert not draft.retryable
     assert found.route('judging.example', '/ask') is None
 
 
