--- a/gentianstair/gateway/leader_tasks.py
+++ b/gentianstair/gateway/leader_tasks.py
@@ -19,9 +19,11 @@
 from gentianstair.store import settled
 from gentianstair.store import store as stores
 
+# The lease's name in the store.
 SCOPE = 'duties'
 SEAL_KIND = 'usage-seal'
 PURPOSE = 'usage'
+# Interval at which due windows and lease candidates are checked.
 POLL_S = 0.5
 # Share of the time allowed for a report after which the counts are sealed. It
 # leaves time for processes that were cut off from the store to add their
--- a/gentianstair/gateway/placement.py
+++ b/gentianstair/gateway/placement.py
@@ -107,14 +107,14 @@
     def __init__(
         self,
         failure_domain: str,
-        work: replica_load.LoadTracker,
-        cache: prefix_index.PrefixIndex,
+        load: replica_load.LoadTracker,
+        index: prefix_index.PrefixIndex,
         costs: prefill_costs.PrefillCosts,
         rng: random.Random,
     ) -> None:
         self._failure_domain = failure_domain
-        self._load = work
-        self._index = cache
+        self._load = load
+        self._index = index
         self._costs = costs
         self._random = rng
 
@@ -186,7 +186,9 @@
                 + decode_cost_s[decode.replica.name]
             )
         jitter = [self._random.uniform(0, TIE_BREAK_S) for _ in costs]
-        ranked = [cost + tie for cost, tie in zip(costs, jitter, strict=True)]
+        ranked = [
+            cost + extra for cost, extra in zip(costs, jitter, strict=True)
+        ]
         return options[ranked.index(min(ranked))]
 
     def _sample(
--- a/gentianstair/gateway/prefill_costs.py
+++ b/gentianstair/gateway/prefill_costs.py
@@ -12,7 +12,7 @@
 DECODE = 'decode'
 # Decode replicas compute prompts this many times slower than prefill ones.
 DECODE_SLOWDOWN = 2.0
-# Coefficients before any observation: seconds of latency, for a thousand
+# Vector before any observation: seconds of latency, for a thousand
 # tokens and for a million pairs. High estimates spread work evenly.
 DEFAULT_COEFFICIENTS = (0.05, 0.04, 0.001)
 # Weight of each default coefficient in the fit, in observations.
@@ -29,7 +29,8 @@
 # Lower bound of coefficients and of errors that are divided by.
 EPSILON_S = 1e-5
 
-Coefficients = tuple[float, float, float]
+# A value for each term: the latency, the tokens and the pairs.
+Vector = tuple[float, float, float]
 
 
 class Cost(typing.NamedTuple):
@@ -47,10 +48,10 @@
     service: str
     stage: str
     samples: int
-    coefficients: Coefficients
+    coefficients: Vector
 
 
-def features(uncached_tokens: int, prompt_tokens: int) -> Coefficients:
+def features(uncached_tokens: int, prompt_tokens: int) -> Vector:
     """Return the factors of the coefficients for one prefill.
 
     These are 1, thousands of computed tokens, and millions of pairs: each
@@ -73,9 +74,7 @@
         self.sums = [0.0] * 3
         self.samples = 0
 
-    def add(
-        self, observed: Coefficients, duration_s: float, weight: float
-    ) -> None:
+    def add(self, observed: Vector, duration_s: float, weight: float) -> None:
         """Add an observation; the weight of older ones decays."""
         self.samples += 1
         for row in range(3):
@@ -87,7 +86,7 @@
                     weight * observed[row] * observed[column]
                 )
 
-    def solve(self, default: Coefficients) -> Coefficients:
+    def solve(self, default: Vector) -> Vector:
         """Return the best non-negative coefficients."""
         rows = [list(row) for row in self.products]
         sums = list(self.sums)
@@ -122,9 +121,9 @@
 
     def __init__(self) -> None:
         self._fits: dict[tuple[str, str], _Fit] = {}
-        self._coefficients: dict[tuple[str, str], Coefficients] = {}
-        # Coefficients fitted by other processes, used as defaults.
-        self._seeds: dict[tuple[str, str], Coefficients] = {}
+        self._coefficients: dict[tuple[str, str], Vector] = {}
+        # Vector fitted by other processes, used as defaults.
+        self._seeds: dict[tuple[str, str], Vector] = {}
 
     def export(self) -> list[FittedCosts]:
         """Return the local fits, for processes that start later."""
@@ -141,7 +140,7 @@
             self._seeds[fitted.service, fitted.stage] = fitted.coefficients
         self._coefficients.clear()
 
-    def coefficients(self, service: str, stage: str) -> Coefficients:
+    def coefficients(self, service: str, stage: str) -> Vector:
         """Return the fitted coefficients of a service and stage."""
         key = (service, stage)
         known = self._coefficients.get(key)
@@ -152,7 +151,7 @@
             self._coefficients[key] = known
         return known
 
-    def _default(self, service: str, stage: str) -> Coefficients:
+    def _default(self, service: str, stage: str) -> Vector:
         seed = self._seeds.get((service, stage))
         if seed is not None:
             return seed
--- a/gentianstair/gateway/retry_budget.py
+++ b/gentianstair/gateway/retry_budget.py
@@ -11,8 +11,8 @@
 
 from gentianstair.util import clock as clocks
 
-# Share of its part that each VM spends at most. The users' windows don't
-# begin at the same times as the windows here.
+# Share of its budget that each VM spends at most, as the users' windows begin
+# at other times than the windows here.
 SAFETY_SHARE = 0.7
 
 
--- a/test/gateway/test_leader_tasks.py
+++ b/test/gateway/test_leader_tasks.py
@@ -1,4 +1,4 @@
-"""Test that windows are reported once, with one set of figures."""
+"""Test that usage reports are complete, and repeated unchanged."""
 
 import pytest
 import trio
@@ -18,22 +18,22 @@
 
 
 class Cloud:
-    """Take reports; lose the answers of some."""
+    """The platform, which receives reports and can lose its answers."""
 
     def __init__(self):
         self.reports = []
-        self.lost = 0
+        self.lost_answers = 0
 
     async def report_usage(self, authority, window, counts):
         authority.check()
         self.reports.append((window, dict(counts)))
-        if self.lost:
-            self.lost -= 1
+        if self.lost_answers:
+            self.lost_answers -= 1
             raise errors.UpstreamError('lost', verdicts.Verdict.MAY_HAVE_RUN)
 
 
 class Process:
-    """One gateway process's part in the counting and reporting."""
+    """The counting and reporting of one gateway process."""
 
     def __init__(self, table, cloud, name, wall):
         self.store = memory_store.MemoryStore(table)
@@ -67,7 +67,7 @@
     return cloud, one, two
 
 
-async def test_counts_of_all_processes_are_added(
+async def test_report_sums_the_counts_of_all_processes(
     pair, autojump_clock, nursery
 ):
     cloud, one, two = pair
@@ -84,9 +84,7 @@
     assert [window for window, _ in cloud.reports] == [0, 1]
 
 
-async def test_a_killed_process_is_still_counted(
-    pair, autojump_clock, nursery
-):
+async def test_report_includes_a_killed_process(pair, autojump_clock, nursery):
     cloud, one, two = pair
     nursery.start_soon(one.members.run)
     two.counts.count_start('club')
@@ -96,18 +94,17 @@
     assert cloud.reports[0] == (0, {'club': 1})
 
 
-async def test_a_new_holder_repeats_the_same_figures(
+async def test_new_leader_repeats_the_sealed_counts(
     pair, autojump_clock, nursery
 ):
-    """The answer to a report is lost, its holder dies, counts grow late.
+    """The answer to a report is lost, and more counts arrive late.
 
-    The next holder must report what the first one did: two reports of one
-    window with different figures break the users' trust in both.
+    Two reports of one window must not differ.
     """
     cloud, one, two = pair
     one.counts.count_start('club')
     await one.members.beat()
-    cloud.lost = 1
+    cloud.lost_answers = 1
     with trio.move_on_after(10.2):
         await one.reporter.run(one.authority)
     one.counts._windows[0]['club'] += 5
@@ -118,26 +115,25 @@
     assert cloud.reports[0] == cloud.reports[1] == (0, {'club': 1})
 
 
-async def test_a_process_that_just_started_is_no_candidate(
+async def test_restarted_process_is_no_lease_candidate(
     pair, autojump_clock, nursery
 ):
-    """The holder is killed and starts again; the lease prefers its new name.
+    """It has to wait before it may take the lease.
 
-    It must rest and watch before it takes a lease; the others waited for
-    it, and windows went unreported for eight seconds.
+    If it were preferred, windows would go unreported meanwhile.
     """
     _, one, two = pair
     nursery.start_soon(one.members.run)
     await trio.sleep(20)
     nursery.start_soon(two.members.run)
     await trio.sleep(2)
-    least_s = leader_tasks.takeover_delay_s(3.0)
-    assert one.members.candidates(least_s) == ('p1',)
+    delay_s = leader_tasks.takeover_delay_s(3.0)
+    assert one.members.candidates(delay_s) == ('p1',)
     await trio.sleep(10)
-    assert one.members.candidates(least_s) == ('p1', 'p2')
+    assert one.members.candidates(delay_s) == ('p1', 'p2')
 
 
-async def test_after_a_start_of_all_everybody_is_a_candidate(
+async def test_all_processes_are_candidates_after_a_common_start(
     pair, autojump_clock, nursery
 ):
     _, one, two = pair
@@ -150,7 +146,7 @@
     )
 
 
-async def test_an_unreadable_seal_is_not_reported(pair, autojump_clock):
+async def test_unreadable_seal_is_not_reported(pair, autojump_clock):
     cloud, one, _ = pair
     one.store.table.write('usage-seal', '0', {'counts': 'many'}, 0)
     with trio.move_on_after(14):
@@ -158,7 +154,7 @@
     assert cloud.reports == []
 
 
-async def test_reporting_ends_with_the_authority(pair, autojump_clock):
+async def test_reports_end_when_the_lease_is_lost(pair, autojump_clock):
     cloud, one, _ = pair
     one.authority.valid_until_s = trio.current_time() + 5
     with pytest.raises(errors.LeaseLostError):
@@ -167,7 +163,9 @@
 
 
 @pytest.mark.parametrize('lost', [0.0, 0.5])
-async def test_a_beat_survives_lost_answers(pair, autojump_clock, lost):
+async def test_heartbeat_recovers_from_lost_answers(
+    pair, autojump_clock, lost
+):
     _, one, _ = pair
     one.store.faults.lose_answers = lost
     for number in range(20):
@@ -182,13 +180,12 @@
     assert sum(sum(c.values()) for c in record.windows.values()) == 20
 
 
-async def test_a_vm_that_the_store_turns_away_is_not_alone(
+async def test_vm_cut_off_from_the_store_still_counts_its_peers(
     pair, autojump_clock, nursery
 ):
-    """The store turns one VM away for long.
+    """It sees no heartbeats, but its peers are alive.
 
-    It sees nobody beat. Were the others gone, all that the fleet may
-    repeat would be its own; they are there, and each spends its part.
+    A VM that counts itself alone would spend the whole retry allowance.
     """
     _, one, other = pair
     for process in (one, other):
@@ -198,7 +195,7 @@
     one.store.faults.down = True
     await trio.sleep(30)
     assert one.members.count() == 2
-    # Those that the store shows to be gone do not count.
+    # Peers whose heartbeats stop while the store answers do not count.
     one.store.faults.down = False
     other.store.faults.down = True
     await trio.sleep(10)
--- a/test/gateway/test_remote_prefill.py
+++ b/test/gateway/test_remote_prefill.py
@@ -1,4 +1,8 @@
-"""Test what reads of prompts cost when replicas refuse or are gone."""
+"""Test remote prefills when replicas refuse them or are gone.
+
+The sample site has the prefill replica i-reader, and the decode replicas
+i-maker-1 and i-maker-2.
+"""
 
 import contextlib
 
@@ -10,7 +14,7 @@
 from standins.site import site as sites
 from test.gateway import gateways
 
-# What the sample settings allow: a fifth of the requests, and so many.
+# The retry limits of the sample settings.
 RATIO = 0.2
 ALLOWANCE = 52
 
@@ -18,31 +22,31 @@
 @contextlib.contextmanager
 def logged(event):
     """Yield the log records of one event."""
-    found = []
+    records = []
 
-    def take(message):
+    def collect(message):
         if message.record['extra'].get('event') == event:
-            found.append(message.record['extra'])
+            records.append(message.record['extra'])
 
-    number = loguru.logger.add(take)
+    sink = loguru.logger.add(collect)
     try:
-        yield found
+        yield records
     finally:
-        loguru.logger.remove(number)
+        loguru.logger.remove(sink)
 
 
 def models(site):
     return [r for r in site.replicas if r.service == 'models']
 
 
-def slow_makers(site, tokens_per_s):
-    """Have makers read more slowly, so that the reader is preferred."""
+def slow_decode_replicas(site, tokens_per_s):
+    """Slow prefills on decode replicas, so that remote ones are chosen."""
     for name in ('i-maker-1', 'i-maker-2'):
         site.replica(name).tokens_per_s = tokens_per_s
 
 
 async def ask(gateway, number):
-    """Send a prompt that no replica keeps any part of."""
+    """Send a prompt that no replica has cached any part of."""
     prompt = {
         'x-model': 'm',
         'x-token-count': '2000,80',
@@ -51,12 +55,10 @@
     return await gateway.call('POST', '/ask/rule', f'q{number}', **prompt)
 
 
-async def test_a_prompt_is_read_once_though_its_maker_has_changed(tmp_path):
-    """A maker started anew at the address of the one that is known.
+async def test_no_second_prefill_when_the_decode_replica_restarted(tmp_path):
+    """It refuses the request and leaves the KV cache to the next replica.
 
-    It says so and runs nothing. The prompt, already read, was read again
-    for the next maker: its time and one more arrival at the service, which
-    a day of many such replicas cannot pay.
+    Another prefill would cost time and retry budget.
     """
     async with sites.running() as site:
         site.replica('i-maker-1').faults.changed = True
@@ -75,43 +77,42 @@
         (['i-reader'], 'full'),
         (['i-maker-1', 'i-maker-2'], 'changed'),
     ],
+    ids=['prefill-replica-is-full', 'decode-replicas-restarted'],
 )
-async def test_reads_and_repeats_stay_within_the_budget(
+async def test_prefills_and_retries_stay_within_the_budget(
     tmp_path, names, fault
 ):
-    """Replicas that read prompts, or that make output, refuse for long.
+    """The prefill replica, or all decode replicas, refuse every request.
 
-    A request was read again for each try at a maker, and only the try was
-    paid for: the service got more arrivals beyond the first of each request
-    than all VMs together may send. Only the first read that is accepted is
-    no such arrival.
+    Of each request the users count all arrivals as retries but the first
+    and the first accepted prefill.
     """
     requests = 60
     async with sites.running() as site:
-        # All in less than a window.
-        slow_makers(site, 40000.0)
+        # All requests must fit in one window.
+        slow_decode_replicas(site, 40000.0)
         for name in names:
             setattr(site.replica(name).faults, fault, True)
         async with gateways.running(site, tmp_path) as (gateway,):
             for number in range(requests):
                 await ask(gateway, number)
         arrivals = sum(replica.arrivals for replica in models(site))
-        read = set(site.replica('i-reader').reads)
-        part = RATIO * requests + ALLOWANCE
+        prefilled = set(site.replica('i-reader').reads)
+        allowed = RATIO * requests + ALLOWANCE
         assert (
-            arrivals - len(read) - requests <= retry_budget.SAFETY_SHARE * part
+            arrivals - len(prefilled) - requests
+            <= retry_budget.SAFETY_SHARE * allowed
         )
 
 
-async def test_a_reader_that_is_gone_is_not_asked_each_time(tmp_path):
-    """The process of the replica that reads prompts is gone.
+async def test_unreachable_prefill_replica_is_ejected(tmp_path):
+    """Its entry stays registered for some seconds after its process died.
 
-    Its entry stays for some seconds. Every request was first sent there in
-    vain, since failed reads were not held against a replica.
+    Not every request may be sent there first.
     """
     async with sites.running() as site:
         site.replica('i-reader').address = f'127.0.0.1:{ports.free_port()}'
-        slow_makers(site, 10000.0)
+        slow_decode_replicas(site, 10000.0)
         with logged('try-failed') as failures:
             async with gateways.running(site, tmp_path) as (gateway,):
                 for number in range(3):
--- a/test/gateway/test_replica_load.py
+++ b/test/gateway/test_replica_load.py
@@ -1,4 +1,4 @@
-"""Test the sums of loads that VMs tell each other."""
+"""Test the sums of the loads that peers report."""
 
 import random
 
@@ -15,65 +15,64 @@
         return self.now_s
 
 
-def summed(parts):
-    found = {}
-    for part in parts:
-        for name, load in part.items():
-            known = found.get(name, replica_load.IDLE)
-            found[name] = replica_load.Load(
+def summed(reports):
+    totals = {}
+    for report in reports:
+        for name, load in report.items():
+            known = totals.get(name, replica_load.IDLE)
+            totals[name] = replica_load.Load(
                 *map(sum, zip(known, load, strict=True))
             )
-    return found
+    return totals
 
 
 @pytest.mark.parametrize('seed', range(5))
-def test_sums_are_those_of_a_twin_that_adds_anew(seed):
-    """Peers tell, fall silent, and are forgotten, in any order."""
-    chance, clock = random.Random(seed), Clock()
-    work = replica_load.LoadTracker(clock)
-    told = {}
+def test_incremental_sums_match_a_full_sum(seed):
+    """Peers report, fall silent and are removed, in any order."""
+    rng, clock = random.Random(seed), Clock()
+    tracker = replica_load.LoadTracker(clock)
+    reported = {}
     for _ in range(300):
-        clock.now_s += chance.uniform(0, 0.3)
-        peer = f'p{chance.randrange(6)}'
-        if chance.random() < 0.1:
-            work.remove_peer(peer)
-            told.pop(peer, None)
+        clock.now_s += rng.uniform(0, 0.3)
+        peer = f'p{rng.randrange(6)}'
+        if rng.random() < 0.1:
+            tracker.remove_peer(peer)
+            reported.pop(peer, None)
         else:
-            part = {
-                f'i-{chance.randrange(8)}': replica_load.Load(
-                    chance.randrange(5), chance.randrange(900)
+            report = {
+                f'i-{rng.randrange(8)}': replica_load.Load(
+                    rng.randrange(5), rng.randrange(900)
                 )
-                for _ in range(chance.randrange(4))
+                for _ in range(rng.randrange(4))
             }
-            work.update_peer(peer, part)
-            told[peer] = (clock.now_s, part)
-        # A silent peer is dropped within a tenth of a second more.
+            tracker.update_peer(peer, report)
+            reported[peer] = (clock.now_s, report)
         clock.now_s += replica_load.EXPIRY_INTERVAL_S
         oldest_s = clock.now_s - replica_load.PEER_TIMEOUT_S
-        told = {n: found for n, found in told.items() if found[0] >= oldest_s}
-        parts = {name: part for name, (_, part) in told.items()}
-        everything = summed(parts.values())
+        reported = {
+            n: row for n, row in reported.items() if row[0] >= oldest_s
+        }
+        reports = {name: report for name, (_, report) in reported.items()}
+        totals = summed(reports.values())
         for number in range(8):
             name = f'i-{number}'
-            assert work.load_of(name) == everything.get(
-                name, replica_load.IDLE
-            )
-        others = summed(p for n, p in parts.items() if n != peer)
-        busy = {
+            assert tracker.load_of(name) == totals.get(name, replica_load.IDLE)
+        others = summed(found for n, found in reports.items() if n != peer)
+        expected = {
             n: one for n, one in others.items() if one != replica_load.IDLE
         }
-        assert work.excluding(peer) == busy
+        assert tracker.excluding(peer) == expected
 
 
-def test_a_hub_passes_on_its_leaves_and_its_own():
+def test_hub_reports_its_own_load_and_that_of_its_leaves():
     clock = Clock()
-    work = replica_load.LoadTracker(clock)
-    work.update_peer(
+    tracker = replica_load.LoadTracker(clock)
+    tracker.update_peer(
         'leaf', {'i-1': replica_load.Load(2, 100)}, from_leaf=True
     )
-    work.update_peer('hub', {'i-1': replica_load.Load(7, 300)})
-    sent = work.begin('i-1', 0.5, 9.0)
-    assert work.subtree() == {'i-1': replica_load.Load(3, 600)}
-    assert work.excluding('leaf') == {'i-1': replica_load.Load(8, 800)}
-    work.end(sent)
-    assert work.subtree() == {'i-1': replica_load.Load(2, 100)}
+    tracker.update_peer('hub', {'i-1': replica_load.Load(7, 300)})
+    request = tracker.begin('i-1', 0.5, 9.0)
+    assert tracker.subtree() == {'i-1': replica_load.Load(3, 600)}
+    assert tracker.excluding('leaf') == {'i-1': replica_load.Load(8, 800)}
+    tracker.end(request)
+    assert tracker.subtree() == {'i-1': replica_load.Load(2, 100)}
--- a/test/gateway/test_retry_budget.py
+++ b/test/gateway/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Test that all VMs together stay within the budget of repeats."""
+"""Test that all VMs together stay within the retry limits."""
 
 import random
 
@@ -19,41 +19,38 @@
 
 @pytest.mark.parametrize('vms', [1, 6, 60])
 @pytest.mark.parametrize('seed', [1, 2])
-def test_every_window_of_the_fleet_is_within_the_budget(vms, seed):
-    """All replicas of a service fail, so each request asks for a repeat.
+def test_fleet_keeps_the_limit_in_every_window(vms, seed):
+    """All replicas fail, so each request asks for a retry.
 
-    Whatever the requests' spread over the VMs, no window of ten seconds may
-    hold more repeats than a fifth of its requests and the allowance.
+    Requests are spread unevenly over the VMs.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     clock = Clock()
     fleet = [
         retry_budget.RetryBudget(lambda: LIMITS, clock, lambda: vms)
         for _ in range(vms)
     ]
-    first, again = [], []
+    requests, retries = [], []
     while clock.now_s < 1060.0:
-        clock.now_s += chance.expovariate(40)
-        # A few VMs get most of the requests.
-        vm = fleet[min(vms - 1, int(chance.expovariate(6 / vms)))]
+        clock.now_s += rng.expovariate(40)
+        vm = fleet[min(vms - 1, int(rng.expovariate(6 / vms)))]
         vm.record_request('desk')
-        first.append(clock.now_s)
+        requests.append(clock.now_s)
         if vm.try_spend('desk'):
-            again.append(clock.now_s)
-    assert len(again) > 20
-    for end_s in again:
+            retries.append(clock.now_s)
+    assert len(retries) > 20
+    for end_s in retries:
         window = (end_s - LIMITS.window_s, end_s)
-        repeated = sum(window[0] < at_s <= window[1] for at_s in again)
-        asked = sum(window[0] < at_s <= window[1] for at_s in first)
-        assert repeated <= LIMITS.ratio * asked + LIMITS.allowance
+        retried = sum(window[0] < at_s <= window[1] for at_s in retries)
+        requested = sum(window[0] < at_s <= window[1] for at_s in requests)
+        assert retried <= LIMITS.ratio * requested + LIMITS.allowance
 
 
 @pytest.mark.parametrize('kills_s', [(0.0,), (3.0,), (2.0, 4.0), (9.0,)])
-def test_killed_processes_do_not_spend_their_part_again(kills_s):
-    """All replicas fail, and all VMs are killed while they repeat.
+def test_fleet_keeps_the_limit_when_all_vms_restart(kills_s):
+    """All replicas fail, and all VMs are killed while they send retries.
 
-    A process that has just started knows nothing of what was spent. Any
-    window that holds both lives must still be within the fleet's budget.
+    Restarted processes don't know what was spent before.
     """
     vms = 6
     clock = Clock()
@@ -67,7 +64,7 @@
     fleet = start()
     clock.now_s += 2 * LIMITS.window_s
     begin_s = clock.now_s
-    again = []
+    retries = []
     kills = list(kills_s)
     while clock.now_s < begin_s + 2 * LIMITS.window_s:
         if kills and clock.now_s >= begin_s + kills[0]:
@@ -75,19 +72,21 @@
             fleet = start()
         for vm in fleet:
             while vm.try_spend('desk'):
-                again.append(clock.now_s)
+                retries.append(clock.now_s)
         clock.now_s += 0.1
-    for end_s in again:
-        spent = sum(end_s - LIMITS.window_s < at_s <= end_s for at_s in again)
+    for end_s in retries:
+        spent = sum(
+            end_s - LIMITS.window_s < at_s <= end_s for at_s in retries
+        )
         assert spent <= LIMITS.allowance
 
 
-def test_services_do_not_share():
+def test_each_service_has_a_budget_of_its_own():
     clock = Clock()
-    one = retry_budget.RetryBudget(lambda: LIMITS, clock, lambda: 60)
+    budget = retry_budget.RetryBudget(lambda: LIMITS, clock, lambda: 60)
     clock.now_s += LIMITS.window_s
-    assert not one.try_spend('desk')
+    assert not budget.try_spend('desk')
     for _ in range(20):
-        one.record_request('desk')
-    assert one.try_spend('desk')
-    assert not one.try_spend('models')
+        budget.record_request('desk')
+    assert budget.try_spend('desk')
+    assert not budget.try_spend('models')
--- a/test/gateway/test_usage_report_protocol.py
+++ b/test/gateway/test_usage_report_protocol.py
@@ -1,8 +1,8 @@
-"""Explore the duties' lease and the reports under seeded failures.
+"""Explore usage reports under the leader lease with seeded failures.
 
-The real code of lease, counting, sealing and reporting runs in four
-processes that are paused, killed and restarted, on a store that refuses,
-delays and loses calls and does some of them late.
+The real lease, counting, sealing and reporting code runs in four processes
+that are paused, killed and restarted. The store refuses, delays and loses
+calls, and executes some of them late.
 """
 
 import collections
@@ -27,12 +27,12 @@
 
 
 class Cloud:
-    """A process's calls to the platform, with the steps of the real ones."""
+    """The calls of a process to the platform, which may pause at steps."""
 
-    def __init__(self, process, vm, guarded):
+    def __init__(self, process, vm, has_deadman):
         self.process = process
         self.vm = vm
-        self.guarded = guarded
+        self.has_deadman = has_deadman
 
     async def report_usage(self, authority, window, counts):
         process = self.process
@@ -40,7 +40,7 @@
         left_s = authority.check(LIFETIME_S)
         checked_s = trio.current_time()
         await process.step()
-        if self.guarded and trio.current_time() - checked_s > left_s:
+        if self.has_deadman and trio.current_time() - checked_s > left_s:
             raise chaos.KilledError(process.name)
         arrived = trio.Event()
         process.world.nursery.start_soon(
@@ -70,26 +70,26 @@
 
 
 class Vm:
-    """A VM whose process is killed and starts again."""
+    """A VM whose process is killed and restarted."""
 
-    def __init__(self, world, number, terms, guarded, chances):
+    def __init__(self, world, number, terms, has_deadman, chances):
         self.world = world
         self.chances = chances
         self.name = f'vm-{number}'
         self.terms = terms
-        self.guarded = guarded
+        self.has_deadman = has_deadman
 
     async def run(self):
         starts = 0
         while True:
             starts += 1
             try:
-                await self.live(f'{self.name}.{starts}', starts == 1)
+                await self.run_process(f'{self.name}.{starts}', starts == 1)
             except* chaos.KilledError:
                 self.world.add(self.name, 'killed')
             await trio.sleep(1.0)
 
-    async def live(self, name, at_first):
+    async def run_process(self, name, is_first_run):
         process = chaos.Process(self.world, name, self.chances)
         store = chaos.ChaosStore(process)
         counts = usage_counter.UsageCounter(trio.current_time, WINDOW_S)
@@ -98,7 +98,7 @@
             store, name, record, counts, process.clock, 400
         )
         leases = lease.make_leases(store, name, process.clock, self.terms)
-        cloud = Cloud(process, self.name, self.guarded)
+        cloud = Cloud(process, self.name, self.has_deadman)
         reporter = leader_tasks.UsageReporter(
             store,
             members,
@@ -110,8 +110,8 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(members.run)
             nursery.start_soon(self.count, counts)
-            nursery.start_soon(self.candidates, members, leases)
-            if not at_first:
+            nursery.start_soon(self.update_candidates, members, leases)
+            if not is_first_run:
                 await trio.sleep(self.terms.rest_s)
             nursery.start_soon(
                 leases.run, lambda: {leader_tasks.SCOPE: reporter.run}
@@ -124,38 +124,40 @@
             await trio.sleep(self.world.random.uniform(0, 0.5))
             counts.count_start(self.world.random.choice(('club', 'guild')))
 
-    async def candidates(self, members, leases):
+    async def update_candidates(self, members, leases):
         while True:
             alive = sorted(member.name for member in members.alive())
             leases.candidates = tuple(alive) or (members.name,)
             await trio.sleep(0.5)
 
 
-async def explore(seed, terms=None, guarded=True, chances=CHANCES):
+async def explore(seed, terms=None, has_deadman=True, chances=CHANCES):
     """Return the reports of one run, in the order of their arrival."""
     terms = terms or leader_tasks.lease_terms(LEASE_S)
     async with trio.open_nursery() as nursery:
         world = chaos.World(seed, nursery)
         for number in range(PROCESSES):
-            nursery.start_soon(Vm(world, number, terms, guarded, chances).run)
+            nursery.start_soon(
+                Vm(world, number, terms, has_deadman, chances).run
+            )
         await trio.sleep(RUN_S)
         nursery.cancel_scope.cancel()
     return [event for event in world.events if event.type == 'report']
 
 
-def check(reports):
-    """Return what breaks a promise, by kind."""
-    broken = collections.Counter()
-    figures = {}
+def violations(reports):
+    """Return the number of violations of each kind."""
+    found = collections.Counter()
+    first_counts = {}
     holders = {}
     highest = 0
     for event in reports:
         data = event.data
-        first = figures.setdefault(data['window'], data['counts'])
-        broken['figures'] += first != data['counts']
+        first = first_counts.setdefault(data['window'], data['counts'])
+        found['figures'] += first != data['counts']
         holder = holders.setdefault(data['epoch'], data['vm'])
-        broken['one epoch, two holders'] += holder != data['vm']
-        broken['lower epoch'] += data['epoch'] < highest
+        found['one epoch, two holders'] += holder != data['vm']
+        found['lower epoch'] += data['epoch'] < highest
         highest = max(highest, data['epoch'])
     turns = [(event.at_s, event.data['vm']) for event in reports]
     for number, (at_s, vm) in enumerate(turns):
@@ -163,18 +165,18 @@
         for later_s, other in turns[number + 1 :]:
             if later_s - at_s > LEASE_S:
                 break
-            broken['turns'] += other == vm and between
+            found['turns'] += other == vm and between
             between = between or other != vm
-    return +broken
+    return +found
 
 
 @pytest.mark.promise
 @pytest.mark.parametrize('seed', range(12))
-async def test_reports_are_one_holders_at_a_time(seed, autojump_clock):
+async def test_reports_come_from_one_leader_at_a_time(seed, autojump_clock):
     reports = await explore(seed)
-    assert check(reports) == {}
+    assert violations(reports) == {}
     windows = {event.data['window'] for event in reports}
-    # Most windows are reported in spite of all that.
+    # Most windows are reported despite the failures.
     assert len(windows) > 0.6 * RUN_S / WINDOW_S
 
 
@@ -187,7 +189,7 @@
         ([('a', 1, 7, 1), ('b', 2, 8, 1), ('a', 3, 9, 1)], 'turns'),
     ],
 )
-def test_the_checker_sees_a_planted_breach(history, kind):
+def test_checker_finds_each_kind_of_violation(history, kind):
     reports = [
         chaos.history.Event(
             float(number),
@@ -197,35 +199,38 @@
         )
         for number, (vm, e, w, count) in enumerate(history)
     ]
-    assert check(reports)[kind] == 1
+    assert violations(reports)[kind] == 1
 
 
 PAUSED = CHANCES._replace(pause=0.03)
 
 
-async def count_anew(self, window):
-    """Return what is counted now, as if there were no seals."""
+async def count_unsealed(self, window):
+    """Return the current counts without sealing them."""
     records = await self._members.records()
     parts = [memberships.counts_of(record) for record in records]
     return usage_counter.window_total(parts, window)
 
 
 @pytest.mark.parametrize(
-    ('guarded', 'sealed', 'kind'),
+    ('has_deadman', 'sealed', 'kind'),
     [
-        # A holder that was stopped before its send sends when it goes on.
+        # A leader that is paused after its check sends without its lease.
         (False, True, 'lower epoch'),
-        # Figures that are not written down before they are sent.
+        # Counts are not sealed before they are sent.
         (True, False, 'figures'),
     ],
 )
-async def test_what_holds_it(
-    guarded, sealed, kind, autojump_clock, monkeypatch
+async def test_exploration_finds_a_removed_safeguard(
+    has_deadman, sealed, kind, autojump_clock, monkeypatch
 ):
-    """Broken on purpose, the exploration finds the breach."""
     if not sealed:
-        monkeypatch.setattr(leader_tasks.UsageReporter, '_seal', count_anew)
-    broken = collections.Counter()
+        monkeypatch.setattr(
+            leader_tasks.UsageReporter, '_seal', count_unsealed
+        )
+    found = collections.Counter()
     for seed in range(10):
-        broken += check(await explore(seed, guarded=guarded, chances=PAUSED))
-    assert broken[kind]
+        found += violations(
+            await explore(seed, has_deadman=has_deadman, chances=PAUSED)
+        )
+    assert found[kind]
