--- a/gentianstair/gateway/autoscaler.py
+++ b/gentianstair/gateway/autoscaler.py
@@ -6,7 +6,7 @@
 
 from gentianstair import errors
 from gentianstair.control import lease
-from gentianstair.gateway import capacity
+from gentianstair.gateway import autoscaling
 from gentianstair.gateway import catalog
 from gentianstair.gateway import node as nodes
 from gentianstair.gateway import store_watch
@@ -35,7 +35,7 @@
         self._node = node
         self._cloud = cloud
         self._touch = touch
-        self._planner = capacity.Planner()
+        self._planner = autoscaling.OrderPlanner()
         self._baselines: dict[str, int] = {}
 
     async def run(self, authority: lease.Authority) -> None:
@@ -69,9 +69,11 @@
         baseline = await self._baseline(service.name, len(there))
         if not baseline:
             return
-        warm = self._planner.warm(there, now_s)
-        wanted = capacity.decide(scaling, baseline, there, warm)
-        due = self._planner.due(service.name, scaling, wanted, there, now_s)
+        warm = self._planner.warm_names(there, now_s)
+        wanted = autoscaling.desired_counts(scaling, baseline, there, warm)
+        due = self._planner.due_orders(
+            service.name, scaling, wanted, there, now_s
+        )
         for order in due:
             try:
                 await self._cloud.order_replicas(
@@ -82,10 +84,10 @@
                     order.reclaimable,
                 )
             except errors.TurnedAwayError as error:
-                self._planner.none_left(order, now_s)
+                self._planner.record_unavailable(order, now_s)
                 _tell(events.NONE_TO_BE_HAD, order, str(error))
                 continue
-            self._planner.ordered(order, scaling, now_s)
+            self._planner.record_accepted(order, scaling, now_s)
             _tell(events.REPLICAS_ORDERED, order, 'accepted')
 
     async def _baseline(self, service: str, there: int) -> int:
@@ -119,7 +121,7 @@
         return found
 
 
-def _tell(event: str, order: capacity.Order, outcome: str) -> None:
+def _tell(event: str, order: autoscaling.Order, outcome: str) -> None:
     loguru.logger.bind(event=event, **order._asdict()).info(
         'ordered {} replicas: {}', order.count, outcome
     )
--- a/gentianstair/gateway/cache_updates.py
+++ b/gentianstair/gateway/cache_updates.py
@@ -11,7 +11,7 @@
 
 from gentianstair import errors
 from gentianstair.gateway import change_log
-from gentianstair.gateway import prefix_cache
+from gentianstair.gateway import prefix_index
 
 # Parts shorter than this are read sooner than they are told of.
 LEAST_TOKENS = 500
@@ -36,7 +36,7 @@
 class CacheUpdates:
     """Changes of the replicas' caches, and who is still to be told."""
 
-    def __init__(self, cache: prefix_cache.PrefixCache) -> None:
+    def __init__(self, cache: prefix_index.PrefixIndex) -> None:
         self._cache = cache
         self._numbers: dict[str, dict[str, int]] = {}
         # Heard from replicas by this VM and its leaves, for the other hubs.
@@ -53,7 +53,7 @@
         numbers = self._numbers.setdefault(change.replica, {})
         if numbers.get(change.part, -1) >= change.number:
             return
-        self._cache.set(change.replica, change.part, change.tokens)
+        self._cache.update(change.replica, change.part, change.tokens)
         key = (change.replica, change.part)
         if change.tokens < LEAST_TOKENS and key not in self.known:
             return
--- a/gentianstair/gateway/hub_client.py
+++ b/gentianstair/gateway/hub_client.py
@@ -7,9 +7,9 @@
 from gentianstair import errors
 from gentianstair.gateway import hubs
 from gentianstair.gateway import leaf_feed
-from gentianstair.gateway import loads
 from gentianstair.gateway import node as nodes
 from gentianstair.gateway import peer_updates
+from gentianstair.gateway import replica_load
 from gentianstair.gateway import replicas
 from gentianstair.gateway import roster as rosters
 from gentianstair.generated import events
@@ -123,11 +123,11 @@
                 await trio.sleep(ASK_S)
             return ''
         finally:
-            node.work.forget(process)
+            node.work.remove_peer(process)
 
     def _word(self, told_at: int) -> messages.GatewayLoad:
         node = self._node
-        return load_message(node, node.work.own(), told_at, leaf=True)
+        return load_message(node, node.work.local(), told_at, leaf=True)
 
     async def _hear(
         self, channel: link.Channel
@@ -149,7 +149,9 @@
         if 'config' in feed:
             knowledge.take_config(feed['config'])
         age_s = feed['age_ms'] / 1000
-        node.work.tell(feed['process'], loads.decode(feed['loads']))
+        node.work.update_peer(
+            feed['process'], replica_load.decode(feed['loads'])
+        )
         node.cache_news.take(feed['cache'], passed_on=False)
         if age_s <= max(OLD_S, knowledge.touch.age_s):
             self._take_replicas(feed)
@@ -183,7 +185,7 @@
 
 def load_message(
     node: nodes.Node,
-    work: dict[str, loads.Load],
+    work: dict[str, replica_load.Load],
     told_at: int,
     leaf: bool,
 ) -> messages.GatewayLoad:
@@ -196,7 +198,7 @@
         'process': node.roster.process,
         'address': node.deployment.peer_address,
         'config_version': force.version if force else 0,
-        'loads': loads.encode(work),
+        'loads': replica_load.encode(work),
         'leaf': leaf,
         'cache': [list(change) for _, change in cache],
     }
--- a/gentianstair/gateway/peer_links.py
+++ b/gentianstair/gateway/peer_links.py
@@ -16,9 +16,9 @@
 from gentianstair import errors
 from gentianstair.gateway import hub_client
 from gentianstair.gateway import leaf_feed
-from gentianstair.gateway import loads
 from gentianstair.gateway import node as nodes
 from gentianstair.gateway import peer_updates
+from gentianstair.gateway import replica_load
 from gentianstair.gateway import replicas
 from gentianstair.generated import events
 from gentianstair.generated import messages
@@ -132,7 +132,7 @@
         while True:
             news = node.cache_news.mine
             message = hub_client.load_message(
-                node, node.work.part(), told_at, leaf=False
+                node, node.work.subtree(), told_at, leaf=False
             )
             told_at = news.position
             await _send(channel, message)
@@ -140,7 +140,7 @@
             pause_s = TELL_S * max(1.0, crowd)
             await trio.sleep(pause_s * LEAST_PAUSE_SHARE)
             with trio.move_on_after(pause_s * (1 - LEAST_PAUSE_SHARE)):
-                await node.work.wait_long()
+                await node.work.wait_long_prefill()
 
     async def _accept(self, channel: link.Channel) -> None:
         """Serve a link that a peer opened."""
@@ -192,8 +192,8 @@
             self._take_news(typing.cast(messages.GatewayNews, message))
 
     def _take_load(self, message: messages.GatewayLoad) -> None:
-        found = loads.decode(message['loads'])
-        self._node.work.tell(message['process'], found)
+        found = replica_load.decode(message['loads'])
+        self._node.work.update_peer(message['process'], found)
         self._node.cache_news.take(message.get('cache', ()), passed_on=False)
         self._heard.add(message['address'])
         self._newest_version = max(
--- a/gentianstair/gateway/plain.py
+++ b/gentianstair/gateway/plain.py
@@ -16,7 +16,7 @@
 async def serve(task: tasks.Task) -> forward.Answer:
     """Return a replica's answer; raise RequestError if there is none."""
     while True:
-        replica = task.node.placement.plain(task.candidates())
+        replica = task.node.placement.choose_plain(task.candidates())
         if replica is None or not task.pay():
             break
         started_s = task.begin(replica)
@@ -39,7 +39,7 @@
     left_s = task.left_s()
     silence_s = SILENCE_OBJECTIVES * task.route.objective_s
     last = task.ran + 1 >= task.route.max_attempts
-    if last or not task.route.repeatable or left_s < 2 * silence_s:
+    if last or not task.route.retryable or left_s < 2 * silence_s:
         return left_s
     return silence_s
 
@@ -52,7 +52,7 @@
         with trio.move_on_after(_limit_s(task)):
             answer = await forward.ask(node, task.call, task.sending(replica))
             if answer.verdict is verdicts.Verdict.RAN:
-                node.usage.began(task.customer_name)
+                node.usage.count_start(task.customer_name)
             return _checked(task, answer)
     finally:
         node.work.end(sent)
--- /dev/null
+++ b/gentianstair/gateway/remote_prefill.py
@@ -0,0 +1,165 @@
+"""Run the prefill of a request apart from its decode replica.
+
+A prefill runs no request: after its failure the request has certainly not
+run. The KV cache that it leaves belongs to this request, and is taken by one
+decode replica or freed.
+"""
+
+import typing
+
+from gentianstair import errors
+from gentianstair import verdict as verdicts
+from gentianstair.gateway import calls
+from gentianstair.gateway import catalog
+from gentianstair.gateway import forward
+from gentianstair.gateway import placement
+from gentianstair.gateway import reading
+from gentianstair.gateway import replicas
+from gentianstair.gateway import task as tasks
+from gentianstair.platform import wire
+
+
+class _HeldKv(typing.NamedTuple):
+    """A KV cache that no decode replica has taken yet."""
+
+    source: calls.KvSource
+    # The name of the prefill replica that holds it.
+    replica: str
+
+
+class RemotePrefill:
+    """The prefills of one request, and the KV cache of the last one."""
+
+    def __init__(
+        self,
+        task: tasks.Task,
+        prompt: calls.Prompt,
+        engine: catalog.Engine,
+    ) -> None:
+        self._task = task
+        self._node = task.node
+        self._prompt = prompt
+        self._engine = engine
+        self._held: _HeldKv | None = None
+        # Prefills that reached a replica. All but the first count as retries.
+        self._attempts = 0
+
+    @property
+    def source(self) -> calls.KvSource | None:
+        """Return where the KV cache is, or None if there is none."""
+        return self._held.source if self._held else None
+
+    def may_prefill(self) -> bool:
+        """Return whether the retry budget allows a prefill now.
+
+        The first prefill costs nothing if it is accepted, but a refused one
+        costs a retry. So while this VM spends retries, one must be left.
+        Every further prefill is a retry.
+        """
+        budget, service = self._node.repeats, self._task.service
+        if self._attempts:
+            return budget.try_spend(service)
+        return not budget.spent(service) or budget.remaining(service) >= 1
+
+    async def prefill(self, plan: placement.Plan, urgency: int) -> None:
+        """Run the prefill of a plan; raise UpstreamError."""
+        replica = plan.prefill_replica
+        assert replica is not None
+        task, node = self._task, self._node
+        started_s = node.clock()
+        request = node.work.begin(
+            replica.name,
+            plan.work_s,
+            started_s + plan.prefill_end_s,
+            plan.miss_penalty_s,
+        )
+        expected = node.cache.expect(
+            replica.name, self._prompt, self._engine.kv_tokens
+        )
+        sending = task.sending(
+            replica,
+            reads_only=True,
+            copy_from=plan.copy.address,
+            urgency=urgency,
+        )
+        answer = None
+        try:
+            answer = await forward.ask(node, task.call, sending)
+            source = wire.decode_handle(
+                replica.address, answer.status, answer.body
+            )
+        except errors.UpstreamError as error:
+            node.cache.retract(replica.name, expected)
+            failure = _failure(error, answer)
+            self._failed(replica, failure, started_s)
+            raise failure from error
+        finally:
+            node.work.end(request)
+        self._attempts += 1
+        self._held = _HeldKv(source, replica.name)
+        took_s = node.clock() - started_s
+        reading.note(task, self._prompt, replica, plan, took_s)
+
+    def _failed(
+        self,
+        replica: replicas.Replica,
+        error: errors.UpstreamError,
+        started_s: float,
+    ) -> None:
+        """Record a failed prefill, and charge the retry budget for it.
+
+        Only the first prefill that a replica accepts is free of charge.
+        """
+        task = self._task
+        if not isinstance(error, errors.UnreachableError):
+            task.failed_reads += 1
+            if not self._attempts:
+                task.node.repeats.spend(task.service)
+            self._attempts += 1
+        task.tried.add(replica.name)
+        task.sent += 1
+        task.failed(replica, error, started_s, reads=True)
+
+    def taken(self) -> None:
+        """Record that a decode replica took the KV cache."""
+        self._held = None
+
+    def not_taken(self, error: errors.UpstreamError) -> None:
+        """Keep the KV cache for the next decode replica, or free it.
+
+        A decode replica that could not be reached, or that has restarted
+        since, left the KV cache untouched. Keeping it saves a retry and the
+        time of another prefill.
+        """
+        if isinstance(error, errors.UnreachableError):
+            return
+        restarted = (
+            isinstance(error, errors.TurnedAwayError)
+            and error.status == wire.HTTP_MISDIRECTED
+        )
+        if not restarted:
+            # The failure may be that the KV cache could not be fetched.
+            self.free()
+
+    def free(self) -> None:
+        """Free the KV cache that no replica will take, if there is one."""
+        if self._held is None:
+            return
+        self._node.nursery.start_soon(
+            forward.release_kv,
+            self._node,
+            self._held.replica,
+            self._held.source,
+        )
+        self._held = None
+
+
+def _failure(
+    error: errors.UpstreamError, answer: forward.Answer | None
+) -> errors.UpstreamError:
+    """Return the error of a request whose prefill failed."""
+    if isinstance(error, errors.UnreachableError):
+        return error
+    if answer is not None and answer.verdict is verdicts.Verdict.NOT_RUN:
+        return errors.TurnedAwayError(str(error), answer.status)
+    return errors.UpstreamError(str(error), verdicts.Verdict.NOT_RUN)
--- a/gentianstair/gateway/task.py
+++ b/gentianstair/gateway/task.py
@@ -116,7 +116,9 @@
         leaving_s = self.node.deployment.bounds.drain_s - LEARNED_S
         return [
             replica
-            for replica in self.node.registry.keeping(self.service, leaving_s)
+            for replica in self.node.registry.copy_sources(
+                self.service, leaving_s
+            )
             if self.node.ejector.usable(self._key(replica), now_s)
         ]
 
@@ -180,7 +182,7 @@
         """Say whether a request may be sent once more after a failure."""
         if self.left_s() < LEAST_LEFT_S:
             return False
-        if last is not verdicts.Verdict.NOT_RUN and not self.route.repeatable:
+        if last is not verdicts.Verdict.NOT_RUN and not self.route.retryable:
             return False
         most = self.route.max_attempts
         if self.ran >= most or self.sent >= most + EXTRA_SENDINGS:
@@ -203,7 +205,7 @@
         """
         if self.sent == self.failed_reads:
             return True
-        return self.node.repeats.take(self.service)
+        return self.node.repeats.try_spend(self.service)
 
     def tell(self, event: str, message: str, **fields: typing.Any) -> None:
         """Log one decision on this request."""
--- a/test/gateway/test_cache_updates.py
+++ b/test/gateway/test_cache_updates.py
@@ -7,7 +7,7 @@
 from gentianstair.gateway import calls
 from gentianstair.gateway import change_log
 from gentianstair.gateway import leaf_feed
-from gentianstair.gateway import prefix_cache
+from gentianstair.gateway import prefix_index
 
 PART = calls.PromptPart('c0de', 9000)
 PROMPT = calls.Prompt('m', 9100, 10, (PART, calls.PromptPart('b0b', 100)))
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def news():
-    return cache_updates.CacheUpdates(prefix_cache.PrefixCache())
+    return cache_updates.CacheUpdates(prefix_index.PrefixIndex())
 
 
 @pytest.mark.parametrize(
@@ -34,11 +34,11 @@
     ],
 )
 def test_what_is_believed(news, changes, unread_tokens):
-    cache = prefix_cache.PrefixCache()
+    cache = prefix_index.PrefixIndex()
     news = cache_updates.CacheUpdates(cache)
     for found in changes:
         news.heard(found, passed_on=True)
-    assert cache.unread_tokens('i-1', PROMPT) == unread_tokens
+    assert cache.uncached_tokens('i-1', PROMPT) == unread_tokens
 
 
 def test_short_parts_are_not_told(news):
--- a/test/gateway/test_leaf_feed.py
+++ b/test/gateway/test_leaf_feed.py
@@ -4,15 +4,15 @@
 
 from gentianstair.gateway import cache_updates
 from gentianstair.gateway import leaf_feed
-from gentianstair.gateway import loads
-from gentianstair.gateway import prefix_cache
+from gentianstair.gateway import prefix_index
+from gentianstair.gateway import replica_load
 from gentianstair.gateway import replicas
 from gentianstair.gateway import roster as rosters
 
 LEAF = 'vm-2.ab'
 WORD = {
     'process': LEAF,
-    'loads': loads.encode({'i-1': loads.Load(3, 40.0)}),
+    'loads': replica_load.encode({'i-1': replica_load.Load(3, 40.0)}),
     'config_version': 0,
 }
 
@@ -33,8 +33,8 @@
     roster.follows_of = lambda process: []
     return types.SimpleNamespace(
         roster=roster,
-        work=loads.Loads(clock),
-        cache_news=cache_updates.CacheUpdates(prefix_cache.PrefixCache()),
+        work=replica_load.LoadTracker(clock),
+        cache_news=cache_updates.CacheUpdates(prefix_index.PrefixIndex()),
         registry=registry,
         force=types.SimpleNamespace(catalog=None),
     )
@@ -48,8 +48,8 @@
     first.answer(WORD)
     second.answer(WORD)
     first.end()
-    assert node.work.at('i-1').running == 3
+    assert node.work.load_of('i-1').running == 3
     assert LEAF in node.roster.leaves
     second.end()
-    assert node.work.at('i-1').running == 0
+    assert node.work.load_of('i-1').running == 0
     assert LEAF not in node.roster.leaves
