--- a/gentianstair/gateway/autoscaler.py
+++ b/gentianstair/gateway/autoscaler.py
@@ -14,13 +14,13 @@
 from gentianstair.platform import cloud as clouds
 from gentianstair.store import settled
 
-PLAN_KIND = 'fleet-baseline'
+BASELINE_KIND = 'fleet-baseline'
 PURPOSE = 'fleet'
-LOOK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 # With an older view of the replicas nothing is ordered.
-FRESH_S = 2.0
+MAX_VIEW_AGE_S = 2.0
 # After this many heartbeats from the start all replicas have registered.
-REGISTERED_HEARTBEATS = 3.0
+STARTUP_HEARTBEATS = 3.0
 
 
 class Autoscaler:
@@ -30,11 +30,11 @@
         self,
         node: nodes.Node,
         cloud: clouds.Cloud,
-        touch: store_watch.StoreHealth,
+        store_health: store_watch.StoreHealth,
     ) -> None:
         self._node = node
         self._cloud = cloud
-        self._touch = touch
+        self._store_health = store_health
         self._planner = capacity.Planner()
         self._baselines: dict[str, int] = {}
 
@@ -43,22 +43,22 @@
         while True:
             authority.check()
             try:
-                await self._look(authority)
+                await self._scale_all(authority)
             except (errors.StoreError, errors.UpstreamError) as error:
                 loguru.logger.bind(event=events.FLEET_FAILED).warning(
                     '{}', error
                 )
-            await trio.sleep(LOOK_S)
+            await trio.sleep(CHECK_INTERVAL_S)
 
-    async def _look(self, authority: lease.Authority) -> None:
+    async def _scale_all(self, authority: lease.Authority) -> None:
         found = self._node.force.catalog
-        if found is None or self._touch.age_s > FRESH_S:
+        if found is None or self._store_health.age_s > MAX_VIEW_AGE_S:
             return
         for service in found.services.values():
             if service.scaling is not None:
-                await self._keep(authority, service, service.scaling)
+                await self._scale(authority, service, service.scaling)
 
-    async def _keep(
+    async def _scale(
         self,
         authority: lease.Authority,
         service: catalog.Service,
@@ -83,10 +83,10 @@
                 )
             except errors.TurnedAwayError as error:
                 self._planner.none_left(order, now_s)
-                _tell(events.NONE_TO_BE_HAD, order, str(error))
+                _log_order(events.NONE_TO_BE_HAD, order, str(error))
                 continue
             self._planner.ordered(order, scaling, now_s)
-            _tell(events.REPLICAS_ORDERED, order, 'accepted')
+            _log_order(events.REPLICAS_ORDERED, order, 'accepted')
 
     async def _baseline(self, service: str, there: int) -> int:
         """Return how many replicas the operator started with.
@@ -97,17 +97,16 @@
         if service in self._baselines:
             return self._baselines[service]
         store = self._node.store
-        item = await store.get(PLAN_KIND, service, purpose=PURPOSE)
+        item = await store.get(BASELINE_KIND, service, purpose=PURPOSE)
         if item.value is None:
             # Replicas register within a heartbeat of the start.
             if self._node.clock() - self._node.started_s < (
-                REGISTERED_HEARTBEATS
-                * self._node.deployment.replica_heartbeat_s
+                STARTUP_HEARTBEATS * self._node.deployment.replica_heartbeat_s
             ):
                 return 0
             value = {'count': there, 'nonce': settled.new_nonce()}
             await settled.put(
-                store, PLAN_KIND, service, value, 0, purpose=PURPOSE
+                store, BASELINE_KIND, service, value, 0, purpose=PURPOSE
             )
             self._baselines[service] = there
             return there
@@ -119,7 +118,7 @@
         return found
 
 
-def _tell(event: str, order: capacity.Order, outcome: str) -> None:
+def _log_order(event: str, order: capacity.Order, outcome: str) -> None:
     loguru.logger.bind(event=event, **order._asdict()).info(
         'ordered {} replicas: {}', order.count, outcome
     )
--- a/gentianstair/gateway/cache_updates.py
+++ b/gentianstair/gateway/cache_updates.py
@@ -14,9 +14,9 @@
 from gentianstair.gateway import prefix_cache
 
 # Parts shorter than this are read sooner than they are told of.
-LEAST_TOKENS = 500
+MIN_SHARED_TOKENS = 500
 # Parts of all replicas that are told to a VM that knows none.
-MOST_PARTS = 20000
+MAX_LOGGED_PARTS = 20000
 
 
 class Change(typing.NamedTuple):
@@ -25,7 +25,7 @@
     replica: str
     part: str
     # The replica's own count of its changes; a later one goes before.
-    number: int
+    sequence: int
     # 0 when the part is gone.
     tokens: int
 
@@ -38,32 +38,32 @@
 
     def __init__(self, cache: prefix_cache.PrefixCache) -> None:
         self._cache = cache
-        self._numbers: dict[str, dict[str, int]] = {}
+        self._sequences: dict[str, dict[str, int]] = {}
         # Heard from replicas by this VM and its leaves, for the other hubs.
-        self.mine: _Log = change_log.ChangeLog(MOST_PARTS)
+        self.hub_log: _Log = change_log.ChangeLog(MAX_LOGGED_PARTS)
         # All that is known, for the leaves.
-        self.known: _Log = change_log.ChangeLog(MOST_PARTS)
+        self.leaf_log: _Log = change_log.ChangeLog(MAX_LOGGED_PARTS)
 
-    def heard(self, change: Change, passed_on: bool) -> None:
-        """Take a change; passed_on says that other hubs learn it here.
+    def apply(self, change: Change, to_hubs: bool) -> None:
+        """Take a change; to_hubs says that other hubs learn it here.
 
         Two VMs follow each replica, and the slower one tells late: a part
         that is gone by then must not seem to be back.
         """
-        numbers = self._numbers.setdefault(change.replica, {})
-        if numbers.get(change.part, -1) >= change.number:
+        sequences = self._sequences.setdefault(change.replica, {})
+        if sequences.get(change.part, -1) >= change.sequence:
             return
         self._cache.set(change.replica, change.part, change.tokens)
         key = (change.replica, change.part)
-        if change.tokens < LEAST_TOKENS and key not in self.known:
+        if change.tokens < MIN_SHARED_TOKENS and key not in self.leaf_log:
             return
-        numbers[change.part] = change.number
-        if passed_on:
-            self.mine.put(key, change)
-        self.known.put(key, change)
+        sequences[change.part] = change.sequence
+        if to_hubs:
+            self.hub_log.put(key, change)
+        self.leaf_log.put(key, change)
 
-    def take(
-        self, rows: collections.abc.Iterable[list], passed_on: bool
+    def apply_rows(
+        self, rows: collections.abc.Iterable[list], to_hubs: bool
     ) -> None:
         """Take changes as a peer tells them; raise DecodeError."""
         try:
@@ -71,11 +71,11 @@
         except msgspec.ValidationError as error:
             raise errors.DecodeError(f'cache changes: {error}') from error
         for change in found:
-            self.heard(change, passed_on)
+            self.apply(change, to_hubs)
 
     def forget(self, replica: str) -> None:
         """Forget a replica that left, or started again with nothing."""
         self._cache.forget(replica)
-        for part in self._numbers.pop(replica, ()):
-            self.mine.drop((replica, part))
-            self.known.drop((replica, part))
+        for part in self._sequences.pop(replica, ()):
+            self.hub_log.drop((replica, part))
+            self.leaf_log.drop((replica, part))
--- a/gentianstair/gateway/cache_watch.py
+++ b/gentianstair/gateway/cache_watch.py
@@ -49,7 +49,7 @@
             for start in known - set(there):
                 node.cache_news.forget(start.name)
             known = set(there)
-            mine = node.roster.follows()
+            mine = node.roster.followed_replicas()
             wanted = {start for start in there if start.name in mine}
             for start in set(following) - wanted:
                 following.pop(start).cancel()
@@ -76,7 +76,9 @@
                 if epoch is not None and changes.epoch != epoch:
                     node.cache_news.forget(replica.name)
                 epoch, since = changes.epoch, changes.next
-                _take(node, replica, changes, node.roster.shares_cache_news())
+                _take(
+                    node, replica, changes, node.roster.shares_cache_updates()
+                )
                 if changes.lost:
                     since = await _close_gap(node, replica, since)
             except (errors.UpstreamError, errors.DecodeError) as error:
@@ -85,7 +87,7 @@
                 ).debug('{}', error)
                 await trio.sleep(RETRY_S)
                 continue
-            large = node.roster.shares_cache_news()
+            large = node.roster.shares_cache_updates()
             await trio.sleep(LARGE_GATHER_S if large else GATHER_S)
 
 
@@ -93,11 +95,11 @@
     node: nodes.Node,
     replica: replicas.Replica,
     changes: wire.CacheChanges,
-    passed_on: bool,
+    to_hubs: bool,
 ) -> None:
     for part, number, tokens in changes.changes:
-        node.cache_news.heard(
-            cache_updates.Change(replica.name, part, number, tokens), passed_on
+        node.cache_news.apply(
+            cache_updates.Change(replica.name, part, number, tokens), to_hubs
         )
 
 
@@ -118,7 +120,7 @@
         return since
     request = wire.cache_list_request(replica.address, forward.CONNECT_S)
     listing = wire.decode_cache_list(await _ask(node, request))
-    _take(node, replica, listing, passed_on=True)
+    _take(node, replica, listing, to_hubs=True)
     return listing.next
 
 
--- a/gentianstair/gateway/change_log.py
+++ b/gentianstair/gateway/change_log.py
@@ -14,7 +14,7 @@
     are more than most keys, those that changed longest ago are dropped: a
     reader that is far behind misses them.
 
-    >>> log = ChangeLog(most=2)
+    >>> log = ChangeLog(max_keys=2)
     >>> log.put('a', 1)
     >>> position = log.position
     >>> log.put('b', 2)
@@ -23,8 +23,8 @@
     [('b', 3)]
     """
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, max_keys: int) -> None:
+        self._max_keys = max_keys
         self._latest: collections.OrderedDict[Key, tuple[int, Value]] = (
             collections.OrderedDict()
         )
@@ -38,7 +38,7 @@
         self.position += 1
         self._latest.pop(key, None)
         self._latest[key] = (self.position, value)
-        if len(self._latest) > self._most:
+        if len(self._latest) > self._max_keys:
             self._latest.popitem(last=False)
 
     def drop(self, key: Key) -> None:
--- a/gentianstair/gateway/duties.py
+++ b/gentianstair/gateway/duties.py
@@ -85,7 +85,7 @@
         last ones of the window must be there.
         """
         end_s = (window + 1) * self._terms.window_s
-        written_s = self._members.beat_s + WRITTEN_S
+        written_s = self._members.heartbeat_s + WRITTEN_S
         latest_s = self._terms.late_s - REPORT_S
         return end_s + max(
             SEAL_AT * self._terms.late_s, min(written_s, latest_s)
@@ -103,7 +103,7 @@
             ).info('reported {} requests', sum(counts.values()))
             self._next = window + 1
             await self._drop_old(window - KEPT_SEALS)
-            await self._members.forget_old()
+            await self._members.delete_expired()
 
     async def _sealed(self, window: int) -> dict[str, int]:
         """Return a window's figures; the first that sealed it decides."""
@@ -111,7 +111,7 @@
         if found is not None:
             return found
         records = await self._members.records()
-        parts = [memberships.counts_of(record) for record in records]
+        parts = [memberships.usage_windows(record) for record in records]
         counts = usage.total(parts, window)
         value = {'counts': counts, 'nonce': settled.new_nonce()}
         try:
--- a/gentianstair/gateway/hub_client.py
+++ b/gentianstair/gateway/hub_client.py
@@ -17,19 +17,19 @@
 from gentianstair.peers import link
 
 # A leaf tells its load and is told all others' this often.
-ASK_S = 0.25
+REPORT_INTERVAL_S = 0.25
 # A hub that is silent for so long may be frozen or cut off.
-ANSWER_S = 0.5
-OPEN_S = 0.6
+ANSWER_TIMEOUT_S = 0.5
+OPEN_TIMEOUT_S = 0.6
 # A hub that did not answer, or does not see the store, is tried again after
 # this time.
-AVOID_S = 4.0
+HUB_COOLDOWN_S = 4.0
 # A hub whose store answered it longer ago than this is left for another. With
 # the time to notice its silence it stays well below the two seconds in which
 # a leaving replica may get new work; a hub's own watch takes less than this.
-OLD_S = 0.9
+MAX_STORE_AGE_S = 0.9
 # Pause while there is no hub to go to, or none that was not left lately.
-LOOK_S = 0.5
+HUB_RETRY_S = 0.5
 
 
 class HubClient:
@@ -39,11 +39,11 @@
         self,
         node: nodes.Node,
         network: link.Network,
-        knowledge: peer_updates.PeerUpdates,
+        updates: peer_updates.PeerUpdates,
     ) -> None:
         self._node = node
         self._network = network
-        self._knowledge = knowledge
+        self._updates = updates
         # Until when a hub is passed over, by its VM.
         self._avoided_s: dict[str, float] = {}
 
@@ -55,10 +55,10 @@
                 # All were left lately, as while the store is away. A leaf
                 # that went on at once would open hundreds of links a second,
                 # at a cost to itself and to the hubs.
-                await trio.sleep(LOOK_S)
+                await trio.sleep(HUB_RETRY_S)
                 hub = self._choose()
             if hub is None:
-                await trio.sleep(LOOK_S)
+                await trio.sleep(HUB_RETRY_S)
                 continue
             await self._stay(hub)
 
@@ -71,7 +71,7 @@
         if roster.is_hub():
             return None
         own, now_s = roster.own, self._node.clock()
-        found = hubs.preferred(own.name, own.failure_domain, roster.hubs())
+        found = hubs.by_preference(own.name, own.failure_domain, roster.hubs())
         return min(
             found,
             # All others being avoided, the one that was left longest ago.
@@ -84,7 +84,7 @@
         why = 'no connection in time'
         try:
             with trio.CancelScope() as opening:
-                opening.deadline = trio.current_time() + OPEN_S
+                opening.deadline = trio.current_time() + OPEN_TIMEOUT_S
                 async with self._network.open(hub.peer_address) as channel:
                     opening.deadline = float('inf')
                     why = await self._converse(channel)
@@ -93,8 +93,8 @@
         if not why:
             return
         # What this hub said last must not pass for current.
-        self._node.roster.forget_told()
-        self._avoided_s[hub.name] = self._node.clock() + AVOID_S
+        self._node.roster.clear_hub_feed()
+        self._avoided_s[hub.name] = self._node.clock() + HUB_COOLDOWN_S
         loguru.logger.bind(event=events.LINK_LOST, peer=hub.name).info(
             'a hub is left: {}', why
         )
@@ -102,13 +102,13 @@
     async def _converse(self, channel: link.Channel) -> str:
         """Tell and be told; return why the hub is left, '' for no fault."""
         node = self._node
-        told_at = 0
+        sent_position = 0
         process = ''
         try:
             while not node.roster.is_hub():
-                position = node.cache_news.mine.position
-                await channel.send(link.encode(self._word(told_at)))
-                told_at = position
+                position = node.cache_news.hub_log.position
+                await channel.send(link.encode(self._word(sent_position)))
+                sent_position = position
                 feed = await self._hear(channel)
                 if feed is None:
                     return 'silent'
@@ -118,21 +118,21 @@
                 except errors.DecodeError as error:
                     _unreadable(error)
                     return 'unreadable'
-                if age_s > OLD_S:
+                if age_s > MAX_STORE_AGE_S:
                     return 'the store does not answer it'
-                await trio.sleep(ASK_S)
+                await trio.sleep(REPORT_INTERVAL_S)
             return ''
         finally:
             node.work.forget(process)
 
-    def _word(self, told_at: int) -> messages.GatewayLoad:
+    def _word(self, sent_position: int) -> messages.GatewayLoad:
         node = self._node
-        return load_message(node, node.work.own(), told_at, leaf=True)
+        return load_message(node, node.work.own(), sent_position, is_leaf=True)
 
     async def _hear(
         self, channel: link.Channel
     ) -> messages.GatewayFeed | None:
-        with trio.move_on_after(ANSWER_S):
+        with trio.move_on_after(ANSWER_TIMEOUT_S):
             while True:
                 try:
                     message = link.decode(await channel.receive())
@@ -145,18 +145,18 @@
 
     def _take(self, feed: messages.GatewayFeed) -> float:
         """Take what a hub says; return the age of what it knows."""
-        node, knowledge = self._node, self._knowledge
+        node, updates = self._node, self._updates
         if 'config' in feed:
-            knowledge.take_config(feed['config'])
+            updates.apply_config(feed['config'])
         age_s = feed['age_ms'] / 1000
         node.work.tell(feed['process'], loads.decode(feed['loads']))
-        node.cache_news.take(feed['cache'], passed_on=False)
-        if age_s <= max(OLD_S, knowledge.touch.age_s):
+        node.cache_news.apply_rows(feed['cache'], to_hubs=False)
+        if age_s <= max(MAX_STORE_AGE_S, updates.store_health.age_s):
             self._take_replicas(feed)
-            knowledge.touch.heard(age_s)
-        if age_s <= OLD_S and node.is_informed():
-            node.roster.tell(
-                rosters.Told(
+            updates.store_health.record_hub_answer(age_s)
+        if age_s <= MAX_STORE_AGE_S and node.is_informed():
+            node.roster.set_hub_feed(
+                rosters.HubFeed(
                     node.clock(),
                     feed['vms'],
                     tuple(leaf_feed.decode_hub(row) for row in feed['hubs']),
@@ -184,20 +184,20 @@
 def load_message(
     node: nodes.Node,
     work: dict[str, loads.Load],
-    told_at: int,
-    leaf: bool,
+    sent_position: int,
+    is_leaf: bool,
 ) -> messages.GatewayLoad:
-    """Return what a VM tells of its load, and of caches since told_at."""
+    """Return a VM's load report, with cache changes since sent_position."""
     force = node.force.catalog
-    cache = node.cache_news.mine.since(told_at)
+    cache = node.cache_news.hub_log.since(sent_position)
     return {
         'version': link.VERSION,
         'type': 'load',
-        'process': node.roster.process,
+        'process': node.roster.process_name,
         'address': node.deployment.peer_address,
         'config_version': force.version if force else 0,
         'loads': loads.encode(work),
-        'leaf': leaf,
+        'leaf': is_leaf,
         'cache': [list(change) for _, change in cache],
     }
 
--- a/gentianstair/gateway/hubs.py
+++ b/gentianstair/gateway/hubs.py
@@ -14,11 +14,11 @@
 
 # Up to so many VMs all are hubs: in a mesh each hears the others without a
 # hop between, and there are few enough links.
-MESH_VMS = 12
+MAX_MESH_VMS = 12
 # With fewer hubs the loss of a failure domain would leave too few.
-LEAST_HUBS = 6
+MIN_HUBS = 6
 # Hubs that have a replica's cache followed, so that one may be lost.
-FOLLOWING_HUBS = 2
+HUBS_PER_REPLICA = 2
 
 
 class Vm(typing.NamedTuple):
@@ -32,25 +32,25 @@
     cores: float
 
 
-def rank(name: str, other: str) -> int:
+def rendezvous_score(name: str, other: str) -> int:
     """Return how strongly one name prefers another; higher is more."""
     return xxhash.xxh64_intdigest(f'{name}\n{other}'.encode())
 
 
-def count(vms: int) -> int:
+def hub_count(vms: int) -> int:
     """Return how many hubs a fleet has.
 
     The leaves of a hub and the hubs grow alike, with the fleet's root.
 
-    >>> [count(vms) for vms in (1, 9, 12, 13, 75, 300, 3000)]
+    >>> [hub_count(vms) for vms in (1, 9, 12, 13, 75, 300, 3000)]
     [1, 9, 12, 6, 6, 12, 38]
     """
-    if vms <= MESH_VMS:
+    if vms <= MAX_MESH_VMS:
         return vms
-    return max(LEAST_HUBS, math.isqrt(vms // 2))
+    return max(MIN_HUBS, math.isqrt(vms // 2))
 
 
-def choose(vms: typing.Iterable[Vm]) -> list[Vm]:
+def select(vms: typing.Iterable[Vm]) -> list[Vm]:
     """Return the hubs: VMs with the most cores, spread over the domains.
 
     All that know the same VMs choose the same hubs.
@@ -61,13 +61,15 @@
         by_domain.setdefault(vm.failure_domain, []).append(vm)
     rows = []
     for domain, found in by_domain.items():
-        found.sort(key=lambda vm: (-vm.cores, rank('hub', vm.name)))
+        found.sort(
+            key=lambda vm: (-vm.cores, rendezvous_score('hub', vm.name))
+        )
         rows += [(place, domain, vm) for place, vm in enumerate(found)]
     rows.sort(key=lambda row: row[:2])
-    return [vm for _, _, vm in rows[: count(len(known))]]
+    return [vm for _, _, vm in rows[: hub_count(len(known))]]
 
 
-def preferred(
+def by_preference(
     vm: str, failure_domain: str, hubs: typing.Iterable[Vm]
 ) -> list[Vm]:
     """Return the hubs in the order in which a leaf tries them.
@@ -79,17 +81,19 @@
         (hub for hub in hubs if hub.name != vm),
         key=lambda hub: (
             hub.failure_domain != failure_domain,
-            -rank(vm, hub.name),
+            -rendezvous_score(vm, hub.name),
         ),
     )
 
 
-def keep(
-    names: typing.Iterable[str], replica: str, most: int = FOLLOWING_HUBS
+def top_ranked(
+    names: typing.Iterable[str], replica: str, limit: int = HUBS_PER_REPLICA
 ) -> list[str]:
     """Return those of some names that a replica prefers most.
 
-    >>> len(keep(['a', 'b', 'c'], 'i-1'))
+    >>> len(top_ranked(['a', 'b', 'c'], 'i-1'))
     2
     """
-    return sorted(names, key=lambda name: -rank(replica, name))[:most]
+    return sorted(names, key=lambda name: -rendezvous_score(replica, name))[
+        :limit
+    ]
--- a/gentianstair/gateway/leaf_feed.py
+++ b/gentianstair/gateway/leaf_feed.py
@@ -15,25 +15,29 @@
     """The hub's end of one leaf's link: what that leaf has been told."""
 
     def __init__(
-        self, node: nodes.Node, touch: store_watch.StoreHealth
+        self, node: nodes.Node, store_health: store_watch.StoreHealth
     ) -> None:
         self._node = node
-        self._touch = touch
+        self._store_health = store_health
         # The leaf's process, empty until it has said it.
         self._leaf = ''
         self._replicas_at: int | None = None
         self._cache_at = 0
 
-    def answer(self, told: messages.GatewayLoad) -> messages.GatewayFeed:
+    def handle_report(
+        self, report: messages.GatewayLoad
+    ) -> messages.GatewayFeed:
         """Take a leaf's word and return what is new since the last one."""
         node = self._node
-        self._leaf = told['process']
+        self._leaf = report['process']
         node.roster.leaves[self._leaf] = self
-        node.work.tell(self._leaf, loads.decode(told['loads']), passed_on=True)
-        node.cache_news.take(told.get('cache', ()), passed_on=True)
-        return self._news(told['config_version'])
+        node.work.tell(
+            self._leaf, loads.decode(report['loads']), passed_on=True
+        )
+        node.cache_news.apply_rows(report.get('cache', ()), to_hubs=True)
+        return self._news(report['config_version'])
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Forget the leaf, unless it has a newer link to this hub."""
         leaves = self._node.roster.leaves
         if leaves.get(self._leaf) is self:
@@ -43,21 +47,21 @@
     def _news(self, known_version: int) -> messages.GatewayFeed:
         node = self._node
         replicas, gone, whole = self._replicas()
-        cache = node.cache_news.known.since(self._cache_at)
-        self._cache_at = node.cache_news.known.position
+        cache = node.cache_news.leaf_log.since(self._cache_at)
+        self._cache_at = node.cache_news.leaf_log.position
         feed: messages.GatewayFeed = {
             'version': link.VERSION,
             'type': 'feed',
-            'process': node.roster.process,
-            'age_ms': int(self._touch.told_age_s * 1000),
+            'process': node.roster.process_name,
+            'age_ms': int(self._store_health.reported_age_s * 1000),
             'loads': loads.encode(node.work.without(self._leaf)),
             'cache': [list(change) for _, change in cache],
             'replicas': replicas,
             'gone': gone,
             'whole': whole,
-            'vms': node.roster.count(),
+            'vms': node.roster.vm_count(),
             'hubs': [encode_hub(hub) for hub in node.roster.hubs()],
-            'follow': node.roster.follows_of(self._leaf),
+            'follow': node.roster.assigned_replicas(self._leaf),
         }
         force = node.force.catalog
         if force is not None and force.version > known_version:
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -169,7 +169,7 @@
         repeats=repeats.Repeats(
             functools.partial(_repeat_terms, live),
             now,
-            roster.count,
+            roster.vm_count,
             restarted=not found.whole_system_starts,
         ),
         ejector=ejection.Ejector(),
@@ -222,7 +222,9 @@
         functools.partial(_take_catalog, node),
         process.touch,
     )
-    turn = store_watch.ReadPolicy(node.roster.is_told, node.roster.count)
+    turn = store_watch.ReadPolicy(
+        node.roster.has_hub_feed, node.roster.vm_count
+    )
     follow = [
         functools.partial(
             store_watch.follow, node.store, source, process.touch, turn
@@ -231,7 +233,7 @@
     ]
     return [
         *follow,
-        functools.partial(process.members.run, node.roster.is_told),
+        functools.partial(process.members.run, node.roster.has_hub_feed),
         functools.partial(peer_links.run, node, knowledge),
         functools.partial(cache_watch.run, node),
     ]
@@ -281,7 +283,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(process.leases.run, scopes_here)
         while True:
-            process.leases.candidates = process.members.candidates(
+            process.leases.candidates = process.members.lease_candidates(
                 duties.watch_s(found.bounds.lease_s),
                 {hub.name for hub in roster.hubs()},
             )
@@ -357,7 +359,7 @@
             )
             duty_nursery.cancel_scope.cancel()
         with trio.move_on_after(LAST_WRITES_S / 2):
-            await process.members.beat()
+            await process.members.write_heartbeat()
         loguru.logger.bind(event=events.STOPPED).info('stopped')
         nursery.cancel_scope.cancel()
 
--- a/gentianstair/gateway/members.py
+++ b/gentianstair/gateway/members.py
@@ -23,23 +23,23 @@
 PURPOSE = 'members'
 # How often a process writes its object: what it counted since is lost when
 # it is killed.
-BEAT_S = 1.0
+HEARTBEAT_S = 1.0
 # Beats of the whole fleet a second. Each call to the store is priced, and in
 # a large fleet each VM counts a small part of the usage.
-BEATS_PER_S = 15.0
+MAX_HEARTBEATS_PER_S = 15.0
 # Share of the store's write rate that all beats together may take.
-BEATS_SHARE = 0.25
-LEAST_PAUSE_S = 0.1
+MAX_HEARTBEAT_WRITE_SHARE = 0.25
+MIN_PAUSE_S = 0.1
 # The longest pause between two looks at the others' objects.
-LOOK_S = 2.0
+MAX_LIST_PAUSE_S = 2.0
 # Beats missed after which a process counts as gone.
-MISSED_BEATS = 3.0
+MISSED_HEARTBEATS = 3.0
 # A process that was never seen again is forgotten after this long; its
 # counts are reported by then.
-FORGET_S = 60.0
+RECORD_RETENTION_S = 60.0
 # Assumed while nobody is known: too many rather than too few, as each takes
 # an even part of what all may do.
-UNKNOWN_MEMBERS = 16
+ASSUMED_MEMBERS = 16
 
 
 class Record(msgspec.Struct):
@@ -64,10 +64,10 @@
     name: str
     record: Record
     version: int
-    since_s: float
+    changed_at_s: float
 
 
-def counts_of(record: Record) -> usage.Windows:
+def usage_windows(record: Record) -> usage.Windows:
     """Return the usage counts in a record."""
     return {int(window): found for window, found in record.windows.items()}
 
@@ -102,9 +102,9 @@
         self._writes_per_s = writes_per_s
         self._costs = costs or read_costs.ReadCosts()
         self._version = 0
-        self._seen: dict[str, Member] = {}
+        self._members: dict[str, Member] = {}
         # When the store last said who is there.
-        self._looked_s = clock()
+        self._listed_at_s = clock()
 
     @property
     def name(self) -> str:
@@ -112,11 +112,14 @@
         return self._name
 
     @property
-    def beat_s(self) -> float:
+    def heartbeat_s(self) -> float:
         """Return the pause between beats, longer in a large fleet."""
-        found = len(self._seen)
-        most_per_s = min(BEATS_PER_S, BEATS_SHARE * self._writes_per_s)
-        return max(BEAT_S, found / most_per_s)
+        found = len(self._members)
+        most_per_s = min(
+            MAX_HEARTBEATS_PER_S,
+            MAX_HEARTBEAT_WRITE_SHARE * self._writes_per_s,
+        )
+        return max(HEARTBEAT_S, found / most_per_s)
 
     def alive(self) -> list[Member]:
         """Return the processes seen lately, this one among them.
@@ -125,21 +128,23 @@
         away sees nobody beat; if it then believed to be alone it would take
         all that the fleet may repeat, as would each VM in its place.
         """
-        oldest_s = self._looked_s - MISSED_BEATS * self.beat_s
-        return [m for m in self._seen.values() if m.since_s >= oldest_s]
+        oldest_s = self._listed_at_s - MISSED_HEARTBEATS * self.heartbeat_s
+        return [
+            m for m in self._members.values() if m.changed_at_s >= oldest_s
+        ]
 
     def count(self) -> int:
         """Return how many there are, if that is known."""
-        if not self._seen:
-            return UNKNOWN_MEMBERS
+        if not self._members:
+            return ASSUMED_MEMBERS
         return max(1, len(self.alive()))
 
-    def candidates(
+    def lease_candidates(
         self,
-        least_s: float,
+        min_age_s: float,
         vms: typing.Collection[str] | None = None,
     ) -> tuple[str, ...]:
-        """Return who may take a lease at once: those that lived for least_s.
+        """Return who may take a lease at once: those that lived for min_age_s.
 
         One that has just started has not watched the lease for long enough
         to know that it lapsed. The others would wait for it in vain. When
@@ -147,31 +152,33 @@
         processes on these are.
         """
         alive = [m for m in self.alive() if vms is None or m.record.vm in vms]
-        known = [m for m in alive if m.record.beat * self.beat_s >= least_s]
+        known = [
+            m for m in alive if m.record.beat * self.heartbeat_s >= min_age_s
+        ]
         names = sorted(member.name for member in known or alive)
         return tuple(names) or (self._name,)
 
     async def run(
-        self, is_told: typing.Callable[[], bool] = lambda: False
+        self, has_hub_feed: typing.Callable[[], bool] = lambda: False
     ) -> None:
         """Beat, and look at the others unless told of them, until cancelled.
 
         The first beat goes before the first look, so that processes which
         start together see each other.
         """
-        beaten_s = -math.inf
+        last_heartbeat_s = -math.inf
         while True:
             started_s = self._clock()
-            if started_s - beaten_s > self.beat_s - LEAST_PAUSE_S:
-                beaten_s = started_s
-                await self.beat()
-            if not is_told():
-                await self._look()
+            if started_s - last_heartbeat_s > self.heartbeat_s - MIN_PAUSE_S:
+                last_heartbeat_s = started_s
+                await self.write_heartbeat()
+            if not has_hub_feed():
+                await self._list_others()
             spent_s = self._clock() - started_s
-            pause_s = min(self.beat_s, LOOK_S) - spent_s
-            await trio.sleep(max(LEAST_PAUSE_S, pause_s))
+            pause_s = min(self.heartbeat_s, MAX_LIST_PAUSE_S) - spent_s
+            await trio.sleep(max(MIN_PAUSE_S, pause_s))
 
-    async def beat(self) -> bool:
+    async def write_heartbeat(self) -> bool:
         """Write this process's object; say whether it is there now."""
         self._record.beat += 1
         self._record.windows = {
@@ -218,37 +225,37 @@
             record = decode(item.value)
             if record is None:
                 continue
-            known = self._seen.get(item.name)
-            since_s = now_s
+            known = self._members.get(item.name)
+            changed_at_s = now_s
             if known is not None and known.version == item.version:
-                since_s = known.since_s
-            found.append(Member(item.name, record, item.version, since_s))
+                changed_at_s = known.changed_at_s
+            found.append(Member(item.name, record, item.version, changed_at_s))
         return found
 
-    async def _look(self) -> None:
+    async def _list_others(self) -> None:
         try:
             found = await self._list()
         except errors.StoreError as error:
             loguru.logger.bind(event=events.LOOK_FAILED).debug('{}', error)
             return
-        gone = set(self._seen) - {member.name for member in found}
-        new = {member.name for member in found} - set(self._seen)
+        gone = set(self._members) - {member.name for member in found}
+        new = {member.name for member in found} - set(self._members)
         if gone or new:
             loguru.logger.bind(
                 event=events.MEMBERS, new=sorted(new), gone=sorted(gone)
             ).info('{} processes are known', len(found))
-        if not self._seen:
+        if not self._members:
             # A process that starts anew goes on with what others learned.
             others = [m for m in found if m.name != self._name]
             self._costs.take(c for m in others for c in m.record.costs)
-        self._seen = {member.name: member for member in found}
-        self._looked_s = self._clock()
+        self._members = {member.name: member for member in found}
+        self._listed_at_s = self._clock()
 
-    async def forget_old(self) -> None:
+    async def delete_expired(self) -> None:
         """Delete objects of processes gone for long; raise StoreError."""
-        oldest_s = self._clock() - FORGET_S
-        for member in list(self._seen.values()):
-            if member.since_s < oldest_s:
+        oldest_s = self._clock() - RECORD_RETENTION_S
+        for member in list(self._members.values()):
+            if member.changed_at_s < oldest_s:
                 await self._store.delete(
                     KIND, member.name, member.version, purpose=PURPOSE
                 )
--- a/gentianstair/gateway/peer_links.py
+++ b/gentianstair/gateway/peer_links.py
@@ -54,12 +54,12 @@
         self,
         node: nodes.Node,
         network: link.Network,
-        knowledge: peer_updates.PeerUpdates,
+        updates: peer_updates.PeerUpdates,
         chance: random.Random,
     ) -> None:
         self._node = node
         self._network = network
-        self._knowledge = knowledge
+        self._updates = updates
         self._random = chance
         self._open: dict[str, link.Channel] = {}
         # Addresses heard of from seeds and peers, beside the members'.
@@ -95,7 +95,7 @@
         return found - {self._node.deployment.peer_address}
 
     def _away(self) -> bool:
-        return self._knowledge.touch.age_s > STORE_AWAY_S
+        return self._updates.store_health.age_s > STORE_AWAY_S
 
     async def _keep(self, address: str, scope: trio.CancelScope) -> None:
         """Keep a link to one peer open and tell it this VM's load."""
@@ -128,13 +128,13 @@
 
     async def _tell(self, channel: link.Channel) -> None:
         node = self._node
-        told_at = 0
+        sent_position = 0
         while True:
-            news = node.cache_news.mine
+            news = node.cache_news.hub_log
             message = hub_client.load_message(
-                node, node.work.part(), told_at, leaf=False
+                node, node.work.part(), sent_position, is_leaf=False
             )
-            told_at = news.position
+            sent_position = news.position
             await _send(channel, message)
             crowd = len(self._open) / FULL_RATE_PEERS
             pause_s = TELL_S * max(1.0, crowd)
@@ -144,14 +144,14 @@
 
     async def _accept(self, channel: link.Channel) -> None:
         """Serve a link that a peer opened."""
-        leaf = leaf_feed.LeafFeed(self._node, self._knowledge.touch)
+        leaf = leaf_feed.LeafFeed(self._node, self._updates.store_health)
         try:
             await self._hear(channel, SILENT_S, leaf)
         except link.LinkClosedError as error:
             loguru.logger.bind(event=events.LINK_LOST).debug('{}', error)
             await channel.aclose()
         finally:
-            leaf.end()
+            leaf.close()
 
     async def _hear(
         self,
@@ -183,7 +183,7 @@
     ) -> None:
         if message['type'] == 'load' and message.get('leaf') and leaf:
             told = typing.cast(messages.GatewayLoad, message)
-            await _send(channel, leaf.answer(told))
+            await _send(channel, leaf.handle_report(told))
         elif message['type'] == 'load':
             self._take_load(typing.cast(messages.GatewayLoad, message))
         elif message['type'] == 'ask_news':
@@ -194,7 +194,9 @@
     def _take_load(self, message: messages.GatewayLoad) -> None:
         found = loads.decode(message['loads'])
         self._node.work.tell(message['process'], found)
-        self._node.cache_news.take(message.get('cache', ()), passed_on=False)
+        self._node.cache_news.apply_rows(
+            message.get('cache', ()), to_hubs=False
+        )
         self._heard.add(message['address'])
         self._newest_version = max(
             self._newest_version, message['config_version']
@@ -205,7 +207,7 @@
         news: messages.GatewayNews = {
             'version': link.VERSION,
             'type': 'news',
-            'age_ms': int(self._knowledge.touch.age_s * 1000),
+            'age_ms': int(self._updates.store_health.age_s * 1000),
             'replicas': [list(r) for r in node.registry.all()],
             'addresses': sorted(self._heard),
         }
@@ -217,10 +219,10 @@
     def _take_news(self, news: messages.GatewayNews) -> None:
         self._heard.update(news['addresses'])
         if 'config' in news:
-            self._knowledge.take_config(news['config'])
+            self._updates.apply_config(news['config'])
         age_s = news['age_ms'] / 1000
-        self._knowledge.touch.served_other(age_s)
-        if not self._away() or age_s > self._knowledge.touch.age_s:
+        self._updates.store_health.record_peer_answer(age_s)
+        if not self._away() or age_s > self._updates.store_health.age_s:
             return
         try:
             known = msgspec.convert(news['replicas'], list[replicas.Replica])
@@ -272,12 +274,12 @@
         raise link.LinkClosedError('the peer takes nothing')
 
 
-async def run(node: nodes.Node, knowledge: peer_updates.PeerUpdates) -> None:
+async def run(node: nodes.Node, updates: peer_updates.PeerUpdates) -> None:
     """Keep the links of a process, as a hub or a leaf, until cancelled."""
     found = node.deployment
     network = link.WebsocketNetwork(found.peer_address, None)
-    links = PeerLinks(node, network, knowledge, random.Random(found.vm))
-    to_hub = hub_client.HubClient(node, network, knowledge)
+    links = PeerLinks(node, network, updates, random.Random(found.vm))
+    to_hub = hub_client.HubClient(node, network, updates)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(links.run)
         nursery.start_soon(to_hub.run)
--- a/gentianstair/gateway/peer_updates.py
+++ b/gentianstair/gateway/peer_updates.py
@@ -14,13 +14,13 @@
     """What a process does with news; the adapter decodes configurations."""
 
     decode_catalog: typing.Callable[[typing.Any], catalog.Catalog]
-    take_catalog: typing.Callable[[catalog.Catalog], None]
-    touch: store_watch.StoreHealth
+    apply_catalog: typing.Callable[[catalog.Catalog], None]
+    store_health: store_watch.StoreHealth
 
-    def take_config(self, raw: typing.Any) -> None:
+    def apply_config(self, raw: typing.Any) -> None:
         """Put a peer's configuration in force if it can be read."""
         try:
-            self.take_catalog(self.decode_catalog(raw))
+            self.apply_catalog(self.decode_catalog(raw))
         except errors.DecodeError as error:
             loguru.logger.bind(event=events.PEER_UNREADABLE).warning(
                 '{}', error
--- a/gentianstair/gateway/roster.py
+++ b/gentianstair/gateway/roster.py
@@ -16,23 +16,23 @@
 # A leaf whose hub was silent for so long reads the store by itself. With the
 # call to the store it must stay below the time in which a leaving replica
 # may get new work.
-UNTOLD_S = 1.2
+FEED_TIMEOUT_S = 1.2
 # A choice of hubs holds for so long.
-CHOSEN_S = 0.3
+HUB_SELECTION_S = 0.3
 # Assignments of replicas to VMs hold for so long.
-ASSIGNED_S = 0.5
+ASSIGNMENT_S = 0.5
 # Calls that a replica keeps waiting are shared with VMs that were replaced
 # and whose calls have not ended yet.
-SPARE_CALLS = 2
+RESERVED_CALLS = 2
 
 
-class Told(typing.NamedTuple):
+class HubFeed(typing.NamedTuple):
     """What a leaf's hub said last."""
 
-    at_s: float
-    vms: int
+    received_s: float
+    vm_count: int
     hubs: tuple[hubs.Vm, ...]
-    follow: frozenset[str]
+    followed_replicas: frozenset[str]
 
 
 class Roster:
@@ -49,38 +49,38 @@
         self._members = members
         self._registry = registry
         self._clock = clock
-        self._told: Told | None = None
+        self._hub_feed: HubFeed | None = None
         # The hubs by what this VM sees itself, and until when that holds.
-        self._chosen: list[hubs.Vm] = []
-        self._chosen_until_s = -math.inf
+        self._selected: list[hubs.Vm] = []
+        self._selected_until_s = -math.inf
         # The newest link of each leaf's process that this VM tells.
         self.leaves: dict[str, typing.Any] = {}
         self._assigned: dict[str, list[str]] = {}
         self._assigned_s: float | None = None
 
     @property
-    def process(self) -> str:
+    def process_name(self) -> str:
         """Return this process's name."""
         return self._members.name
 
-    def tell(self, told: Told) -> None:
+    def set_hub_feed(self, feed: HubFeed) -> None:
         """Take what a hub says."""
-        self._told = told
+        self._hub_feed = feed
 
-    def forget_told(self) -> None:
+    def clear_hub_feed(self) -> None:
         """Forget what a hub said, as it says no more."""
-        self._told = None
+        self._hub_feed = None
 
-    def is_told(self) -> bool:
+    def has_hub_feed(self) -> bool:
         """Return whether a hub keeps this VM up to date."""
-        return self._fresh() is not None and not self.is_hub()
+        return self._current_feed() is not None and not self.is_hub()
 
-    def _fresh(self) -> Told | None:
+    def _current_feed(self) -> HubFeed | None:
         """Return what a hub said, unless that is long ago."""
-        told = self._told
-        if told is None or self._clock() - told.at_s > UNTOLD_S:
+        feed = self._hub_feed
+        if feed is None or self._clock() - feed.received_s > FEED_TIMEOUT_S:
             return None
-        return told
+        return feed
 
     def vms(self) -> list[hubs.Vm]:
         """Return the VMs that this one sees in the store, itself included."""
@@ -96,21 +96,21 @@
         found[self.own.name] = self.own
         return list(found.values())
 
-    def count(self) -> int:
+    def vm_count(self) -> int:
         """Return how many VMs there are, if that is known."""
-        told = self._fresh()
-        return told.vms if told else self._members.count()
+        feed = self._current_feed()
+        return feed.vm_count if feed else self._members.count()
 
     def hubs(self) -> list[hubs.Vm]:
         """Return the hubs of the fleet."""
-        told = self._fresh()
-        if told is not None:
-            return list(told.hubs)
+        feed = self._current_feed()
+        if feed is not None:
+            return list(feed.hubs)
         now_s = self._clock()
-        if now_s >= self._chosen_until_s:
-            self._chosen = hubs.choose(self.vms())
-            self._chosen_until_s = now_s + CHOSEN_S
-        return self._chosen
+        if now_s >= self._selected_until_s:
+            self._selected = hubs.select(self.vms())
+            self._selected_until_s = now_s + HUB_SELECTION_S
+        return self._selected
 
     def is_hub(self) -> bool:
         """Return whether this VM is one of the hubs."""
@@ -118,7 +118,7 @@
 
     def is_mesh(self) -> bool:
         """Return whether all VMs are hubs, so that there are no leaves."""
-        if self._fresh() is not None:
+        if self._current_feed() is not None:
             return False
         return len(self.hubs()) == len(self.vms())
 
@@ -130,28 +130,28 @@
         if not self.is_mesh():
             return True
         names = [hub.name for hub in self.hubs()]
-        return self.own.name in hubs.keep(names, replica)
+        return self.own.name in hubs.top_ranked(names, replica)
 
-    def shares_cache_news(self) -> bool:
+    def shares_cache_updates(self) -> bool:
         """Return whether VMs tell each other what replicas keep.
 
         A small fleet need not, as each of its VMs asks each replica.
         """
         calls = self._registry.cache_calls
-        return not self.is_mesh() or len(self.hubs()) > calls - SPARE_CALLS
+        return not self.is_mesh() or len(self.hubs()) > calls - RESERVED_CALLS
 
-    def follows(self) -> set[str]:
+    def followed_replicas(self) -> set[str]:
         """Return the names of the replicas whose caches to follow here."""
-        told = self._fresh()
-        if told is not None and not self.is_hub():
-            return set(told.follow)
-        return set(self.follows_of(self._members.name))
+        feed = self._current_feed()
+        if feed is not None and not self.is_hub():
+            return set(feed.followed_replicas)
+        return set(self.assigned_replicas(self._members.name))
 
-    def follows_of(self, process: str) -> list[str]:
+    def assigned_replicas(self, process: str) -> list[str]:
         """Return the replicas that a leaf, or this process, is to follow."""
         now_s = self._clock()
         at_s = self._assigned_s
-        if at_s is None or now_s - at_s > ASSIGNED_S:
+        if at_s is None or now_s - at_s > ASSIGNMENT_S:
             self._assigned = self._assign()
             self._assigned_s = now_s
         return self._assigned.get(process, [])
@@ -159,13 +159,13 @@
     def _assign(self) -> dict[str, list[str]]:
         """Share the replicas that this hub answers for with its leaves."""
         names = [r.name for r in self._registry.all() if r.stage]
-        if not self.shares_cache_news():
+        if not self.shares_cache_updates():
             return {self._members.name: names}
         hub_names = [hub.name for hub in self.hubs()]
         takers = sorted(self.leaves) or [self._members.name]
         found: dict[str, list[str]] = {}
         for name in names:
-            if self.own.name in hubs.keep(hub_names, name):
-                (taker,) = hubs.keep(takers, name, 1)
+            if self.own.name in hubs.top_ranked(hub_names, name):
+                (taker,) = hubs.top_ranked(takers, name, 1)
                 found.setdefault(taker, []).append(name)
         return found
--- a/test/gateway/test_cache_updates.py
+++ b/test/gateway/test_cache_updates.py
@@ -13,12 +13,12 @@
 PROMPT = calls.Prompt('m', 9100, 10, (PART, calls.PromptPart('b0b', 100)))
 
 
-def change(number, tokens, part='c0de'):
-    return cache_updates.Change('i-1', part, number, tokens)
+def change(sequence, tokens, part='c0de'):
+    return cache_updates.Change('i-1', part, sequence, tokens)
 
 
 @pytest.fixture
-def news():
+def updates():
     return cache_updates.CacheUpdates(prefix_cache.PrefixCache())
 
 
@@ -33,42 +33,42 @@
         ([change(2, 0), change(1, 9000)], 100),
     ],
 )
-def test_what_is_believed(news, changes, unread_tokens):
+def test_what_is_believed(updates, changes, unread_tokens):
     cache = prefix_cache.PrefixCache()
-    news = cache_updates.CacheUpdates(cache)
+    updates = cache_updates.CacheUpdates(cache)
     for found in changes:
-        news.heard(found, passed_on=True)
+        updates.apply(found, to_hubs=True)
     assert cache.unread_tokens('i-1', PROMPT) == unread_tokens
 
 
-def test_short_parts_are_not_told(news):
-    news.heard(change(1, 40, 'tiny'), passed_on=True)
-    news.heard(change(2, 9000), passed_on=True)
-    told = [found.part for _, found in news.mine.since(0)]
+def test_short_parts_are_not_told(updates):
+    updates.apply(change(1, 40, 'tiny'), to_hubs=True)
+    updates.apply(change(2, 9000), to_hubs=True)
+    told = [found.part for _, found in updates.hub_log.since(0)]
     assert told == ['c0de']
 
 
-def test_what_hubs_told_is_told_to_leaves_only(news):
-    news.heard(change(1, 9000), passed_on=False)
-    assert news.mine.since(0) == []
-    assert [found.number for _, found in news.known.since(0)] == [1]
+def test_what_hubs_told_is_told_to_leaves_only(updates):
+    updates.apply(change(1, 9000), to_hubs=False)
+    assert updates.hub_log.since(0) == []
+    assert [found.sequence for _, found in updates.leaf_log.since(0)] == [1]
 
 
-def test_a_replica_that_started_again_begins_anew(news):
-    news.heard(change(7, 9000), passed_on=True)
-    news.forget('i-1')
-    assert news.known.since(0) == []
-    news.heard(change(1, 9000), passed_on=True)
-    assert len(news.known.since(0)) == 1
+def test_a_replica_that_started_again_begins_anew(updates):
+    updates.apply(change(7, 9000), to_hubs=True)
+    updates.forget('i-1')
+    assert updates.leaf_log.since(0) == []
+    updates.apply(change(1, 9000), to_hubs=True)
+    assert len(updates.leaf_log.since(0)) == 1
 
 
 @pytest.mark.parametrize(
     'row', [[], ['i-1'], ['i-1', 'c0de', 'first', 9000], ['i-1', 'c', 1, None]]
 )
-def test_rows_that_make_no_sense_are_refused(news, row):
+def test_rows_that_make_no_sense_are_refused(updates, row):
     """A peer of another version, or with a fault, tells something else."""
     with pytest.raises(errors.DecodeError):
-        news.take([row], passed_on=True)
+        updates.apply_rows([row], to_hubs=True)
 
 
 @pytest.mark.parametrize('row', [[], ['vm'], ['vm', 'a', 'b', 'c']])
@@ -78,7 +78,7 @@
 
 
 def test_a_reader_far_behind_gets_the_newest():
-    log = change_log.ChangeLog(most=3)
+    log = change_log.ChangeLog(max_keys=3)
     for number in range(10):
         log.put(number, number)
     assert [key for key, _ in log.since(0)] == [7, 8, 9]
--- a/test/gateway/test_duties.py
+++ b/test/gateway/test_duties.py
@@ -90,7 +90,7 @@
     cloud, one, two = pair
     nursery.start_soon(one.members.run)
     two.counts.began('club')
-    await two.members.beat()
+    await two.members.write_heartbeat()
     nursery.start_soon(one.reporter.run, one.authority)
     await trio.sleep(12)
     assert cloud.reports[0] == (0, {'club': 1})
@@ -106,12 +106,12 @@
     """
     cloud, one, two = pair
     one.counts.began('club')
-    await one.members.beat()
+    await one.members.write_heartbeat()
     cloud.lost = 1
     with trio.move_on_after(10.2):
         await one.reporter.run(one.authority)
     one.counts._windows[0]['club'] += 5
-    await one.members.beat()
+    await one.members.write_heartbeat()
     with trio.move_on_after(3):
         await two.reporter.run(two.authority)
     assert len(cloud.reports) == 2
@@ -132,9 +132,9 @@
     nursery.start_soon(two.members.run)
     await trio.sleep(2)
     least_s = duties.watch_s(3.0)
-    assert one.members.candidates(least_s) == ('p1',)
+    assert one.members.lease_candidates(least_s) == ('p1',)
     await trio.sleep(10)
-    assert one.members.candidates(least_s) == ('p1', 'p2')
+    assert one.members.lease_candidates(least_s) == ('p1', 'p2')
 
 
 async def test_after_a_start_of_all_everybody_is_a_candidate(
@@ -144,7 +144,7 @@
     nursery.start_soon(one.members.run)
     nursery.start_soon(two.members.run)
     await trio.sleep(2)
-    assert one.members.candidates(duties.watch_s(3.0)) == ('p1', 'p2')
+    assert one.members.lease_candidates(duties.watch_s(3.0)) == ('p1', 'p2')
 
 
 async def test_an_unreadable_seal_is_not_reported(pair, autojump_clock):
@@ -169,12 +169,12 @@
     one.store.faults.lose_answers = lost
     for number in range(20):
         one.counts.began('club')
-        await one.members.beat()
+        await one.members.write_heartbeat()
         await trio.sleep(0.1)
         del number
     one.store.faults.lose_answers = 0.0
-    await one.members.beat()
-    await one.members.beat()
+    await one.members.write_heartbeat()
+    await one.members.write_heartbeat()
     (record,) = await one.members.records()
     assert sum(sum(c.values()) for c in record.windows.values()) == 20
 
--- a/test/gateway/test_duty_protocol.py
+++ b/test/gateway/test_duty_protocol.py
@@ -206,7 +206,7 @@
 async def count_anew(self, window):
     """Return what is counted now, as if there were no seals."""
     records = await self._members.records()
-    parts = [memberships.counts_of(record) for record in records]
+    parts = [memberships.usage_windows(record) for record in records]
     return usage.total(parts, window)
 
 
--- a/test/gateway/test_hub_client.py
+++ b/test/gateway/test_hub_client.py
@@ -33,7 +33,7 @@
     def hubs(self):
         return self.found
 
-    def forget_told(self):
+    def clear_hub_feed(self):
         pass
 
     @contextlib.asynccontextmanager
@@ -63,8 +63,8 @@
     # The first round goes through all of them at once.
     assert times[count - 1] <= 2 * OPEN_S * count
     later = gaps_s(times[count - 1 :])
-    assert min(later) >= hub_client.LOOK_S
+    assert min(later) >= hub_client.HUB_RETRY_S
     # It goes on trying, and each of them.
-    assert max(later) <= hub_client.LOOK_S + 2 * OPEN_S
+    assert max(later) <= hub_client.HUB_RETRY_S + 2 * OPEN_S
     tried = {address for address, _ in found.opened[count:]}
     assert tried == {hub.peer_address for hub in found.found}
--- a/test/gateway/test_hubs.py
+++ b/test/gateway/test_hubs.py
@@ -25,28 +25,29 @@
     [(1, 1, 1), (9, 3, 9), (12, 3, 12), (75, 3, 6), (61, 4, 6), (300, 3, 12)],
 )
 def test_hubs_are_spread_over_the_domains(vms, domains, expected):
-    found = hubs.choose(fleet(vms, domains))
+    found = hubs.select(fleet(vms, domains))
     assert len(found) == expected
     by_domain = collections.Counter(hub.failure_domain for hub in found)
     assert max(by_domain.values()) - min(by_domain.values()) <= 1
 
 
 def test_hubs_are_the_vms_with_the_most_cores():
-    found = hubs.choose(fleet(75, big=6))
+    found = hubs.select(fleet(75, big=6))
     assert {hub.name for hub in found} == {f'vm-{n}' for n in range(6)}
 
 
 def test_all_who_know_the_same_choose_the_same():
     vms = fleet(75)
-    assert hubs.choose(vms) == hubs.choose(reversed(vms))
+    assert hubs.select(vms) == hubs.select(reversed(vms))
 
 
 def test_leaves_go_to_their_own_domain_and_are_shared_out():
     vms = fleet(75)
-    found = hubs.choose(vms)
+    found = hubs.select(vms)
     leaves = [vm for vm in vms if vm not in found]
     first = [
-        hubs.preferred(vm.name, vm.failure_domain, found)[0] for vm in leaves
+        hubs.by_preference(vm.name, vm.failure_domain, found)[0]
+        for vm in leaves
     ]
     pairs = zip(leaves, first, strict=True)
     assert all(vm.failure_domain == hub.failure_domain for vm, hub in pairs)
@@ -58,8 +59,8 @@
 def test_a_lost_hub_moves_few_replicas():
     names = [f'vm-{n}' for n in range(6)]
     replicas = [f'i-{n}' for n in range(100)]
-    before = {r: set(hubs.keep(names, r)) for r in replicas}
-    after = {r: set(hubs.keep(names[1:], r)) for r in replicas}
+    before = {r: set(hubs.top_ranked(names, r)) for r in replicas}
+    after = {r: set(hubs.top_ranked(names[1:], r)) for r in replicas}
     for replica in replicas:
         assert after[replica] >= before[replica] - {'vm-0'}
 
@@ -67,8 +68,8 @@
 @pytest.fixture
 def one_hub(monkeypatch):
     """Make fleets of two VMs and more have one hub."""
-    monkeypatch.setattr(hubs, 'MESH_VMS', 1)
-    monkeypatch.setattr(hubs, 'LEAST_HUBS', 1)
+    monkeypatch.setattr(hubs, 'MAX_MESH_VMS', 1)
+    monkeypatch.setattr(hubs, 'MIN_HUBS', 1)
 
 
 @contextlib.asynccontextmanager
--- a/test/gateway/test_leaf_feed.py
+++ b/test/gateway/test_leaf_feed.py
@@ -30,7 +30,7 @@
     )
     roster = rosters.Roster(own, members, registry, clock)
     roster.hubs = list
-    roster.follows_of = lambda process: []
+    roster.assigned_replicas = lambda process: []
     return types.SimpleNamespace(
         roster=roster,
         work=loads.Loads(clock),
@@ -43,13 +43,13 @@
 def test_the_end_of_a_replaced_link_forgets_nothing():
     # The hub forgot a leaf that had told it more on a new link.
     node = make_node()
-    touch = types.SimpleNamespace(told_age_s=0.0)
-    first, second = (leaf_feed.LeafFeed(node, touch) for _ in range(2))
-    first.answer(WORD)
-    second.answer(WORD)
-    first.end()
+    store_health = types.SimpleNamespace(reported_age_s=0.0)
+    first, second = (leaf_feed.LeafFeed(node, store_health) for _ in range(2))
+    first.handle_report(WORD)
+    second.handle_report(WORD)
+    first.close()
     assert node.work.at('i-1').running == 3
     assert LEAF in node.roster.leaves
-    second.end()
+    second.close()
     assert node.work.at('i-1').running == 0
     assert LEAF not in node.roster.leaves
--- a/test/gateway/test_store_watch.py
+++ b/test/gateway/test_store_watch.py
@@ -28,7 +28,7 @@
         self.store = memory_store.MemoryStore()
         self.registry = replicas.Registry(clock.trio_time_s)
         self.versions = []
-        self.touch = store_watch.StoreHealth(clock.trio_time_s)
+        self.store_health = store_watch.StoreHealth(clock.trio_time_s)
 
     def write(self, name, value):
         table = self.store.table
@@ -54,7 +54,7 @@
         async with trio.open_nursery() as nursery:
             for source in sources:
                 nursery.start_soon(
-                    store_watch.follow, self.store, source, self.touch
+                    store_watch.follow, self.store, source, self.store_health
                 )
 
 
@@ -112,7 +112,7 @@
     """
     watched.store.faults.down = True
     await trio.sleep(4)
-    watched.touch.served_other(0.1)
+    watched.store_health.record_peer_answer(0.1)
     await trio.sleep(4)
     watched.write('i-1', None)
     watched.store.faults.down = False
@@ -125,7 +125,7 @@
     watched.store.faults.down = True
     watched.write('i-1', None)
     await trio.sleep(8)
-    watched.touch.served_other(0.0)
+    watched.store_health.record_peer_answer(0.0)
     watched.store.faults.down = False
     await trio.sleep(1)
     assert watched.names() == ['i-1', 'i-2']
@@ -195,10 +195,10 @@
 
 
 async def test_the_age_of_the_last_answer(watched, autojump_clock):
-    assert watched.touch.age_s < 2
+    assert watched.store_health.age_s < 2
     watched.store.faults.down = True
     await trio.sleep(5)
-    assert watched.touch.age_s > 3
+    assert watched.store_health.age_s > 3
 
 
 @pytest.mark.parametrize(
@@ -257,8 +257,8 @@
     watched, autojump_clock, phase
 ):
     # Leaves of a hub that is turned away gave a leaving replica work.
-    await trio.sleep(phase * store_watch.WATCH_S / 16)
-    assert watched.touch.told_age_s < hub_client.OLD_S
+    await trio.sleep(phase * store_watch.WATCH_TIMEOUT_S / 16)
+    assert watched.store_health.reported_age_s < hub_client.MAX_STORE_AGE_S
     store = watched.store
     real = store.list, store.watch
 
@@ -267,8 +267,12 @@
 
     store.list = store.watch = refuse
     # Only what a held watch of the replicas still told may count.
-    await trio.sleep(store_watch.BEATS_WATCH_S + hub_client.OLD_S + 0.001)
-    assert watched.touch.told_age_s > hub_client.OLD_S
+    await trio.sleep(
+        store_watch.REPLICA_WATCH_TIMEOUT_S
+        + hub_client.MAX_STORE_AGE_S
+        + 0.001
+    )
+    assert watched.store_health.reported_age_s > hub_client.MAX_STORE_AGE_S
     store.list, store.watch = real
     await trio.sleep(2.0)
-    assert watched.touch.told_age_s < hub_client.OLD_S
+    assert watched.store_health.reported_age_s < hub_client.MAX_STORE_AGE_S
