--- a/gentianstair/gateway/peer_updates.py
+++ b/gentianstair/gateway/peer_updates.py
@@ -1,4 +1,4 @@
-"""Take what peers know of the configuration and of the store."""
+"""Apply updates from peers that replace reads of the store."""
 
 import typing
 
@@ -11,14 +11,14 @@
 
 
 class PeerUpdates(typing.NamedTuple):
-    """What a process does with news; the adapter decodes configurations."""
+    """What a process needs to apply updates from peers."""
 
     decode_catalog: typing.Callable[[typing.Any], catalog.Catalog]
     apply_catalog: typing.Callable[[catalog.Catalog], None]
     store_health: store_watch.StoreHealth
 
     def apply_config(self, raw: typing.Any) -> None:
-        """Put a peer's configuration in force if it can be read."""
+        """Apply a peer's configuration if it can be decoded."""
         try:
             self.apply_catalog(self.decode_catalog(raw))
         except errors.DecodeError as error:
--- a/test/gateway/test_events.py
+++ b/test/gateway/test_events.py
@@ -1,4 +1,4 @@
-"""Test that what is logged and what the schema names are the same."""
+"""Test that the logged events are those of the schema."""
 
 import pathlib
 import re
@@ -17,7 +17,7 @@
             yield path, path.read_text()
 
 
-def test_each_event_of_the_schema_is_logged_somewhere():
+def test_events_in_code_and_schema_are_the_same():
     used = {
         name
         for path, text in sources()
@@ -28,6 +28,6 @@
     assert used - {'ALL'} == named
 
 
-def test_no_event_is_named_beside_the_schema():
+def test_no_event_is_logged_under_a_literal_name():
     found = [path.name for path, text in sources() if LITERAL.search(text)]
     assert found == []
--- a/test/gateway/test_store_watch.py
+++ b/test/gateway/test_store_watch.py
@@ -1,4 +1,4 @@
-"""Test what a VM believes while the store misbehaves."""
+"""Test how a VM follows the store through outages and stale answers."""
 
 import pytest
 import trio
@@ -21,8 +21,8 @@
     return {**replica.entry(), **changed}
 
 
-class Watched:
-    """A registry and catalogs that follow a store in memory."""
+class Follower:
+    """A registry and configuration versions that follow a store in memory."""
 
     def __init__(self):
         self.store = memory_store.MemoryStore()
@@ -59,8 +59,8 @@
 
 
 @pytest.fixture
-async def watched(autojump_clock, nursery):
-    found = Watched()
+async def follower(autojump_clock, nursery):
+    found = Follower()
     found.write('i-1', entry('i-1'))
     found.write('i-2', entry('i-2'))
     nursery.start_soon(found.run)
@@ -68,211 +68,214 @@
     return found
 
 
-async def test_entries_come_drain_and_go(watched, autojump_clock):
-    assert watched.names() == ['i-1', 'i-2']
-    watched.write('i-1', entry('i-1', state='draining'))
-    watched.write('i-3', entry('i-3'))
+async def test_replicas_are_added_drained_and_removed(
+    follower, autojump_clock
+):
+    assert follower.names() == ['i-1', 'i-2']
+    follower.write('i-1', entry('i-1', state='draining'))
+    follower.write('i-3', entry('i-3'))
     await trio.sleep(1)
-    assert watched.names() == ['i-2', 'i-3']
-    watched.write('i-2', None)
-    watched.write('i-3', {'garbage': True})
+    assert follower.names() == ['i-2', 'i-3']
+    follower.write('i-2', None)
+    follower.write('i-3', {'garbage': True})
     await trio.sleep(1)
-    assert watched.names() == []
+    assert follower.names() == []
 
 
-async def test_entries_that_lapse_in_an_outage_are_kept_for_a_while(
-    watched, autojump_clock
+async def test_live_replicas_survive_an_outage_of_the_store(
+    follower, autojump_clock
 ):
-    """The store is down for long, and all entries lapse meanwhile.
+    """All entries lapse during a long outage of the store.
 
-    Right after its return nothing is listed; a VM that believed it would
-    refuse everybody although all replicas live. Those that come back stay,
-    the others count as gone after two seconds.
+    The first listings after it are empty. A VM that trusted them would
+    refuse all requests; entries that do not return are dropped later.
     """
-    watched.store.faults.down = True
-    watched.write('i-1', None)
-    watched.write('i-2', None)
+    follower.store.faults.down = True
+    follower.write('i-1', None)
+    follower.write('i-2', None)
     await trio.sleep(8)
-    assert watched.names() == ['i-1', 'i-2']
-    watched.store.faults.down = False
+    assert follower.names() == ['i-1', 'i-2']
+    follower.store.faults.down = False
     await trio.sleep(1)
-    assert watched.names() == ['i-1', 'i-2']
-    watched.write('i-1', entry('i-1'))
+    assert follower.names() == ['i-1', 'i-2']
+    follower.write('i-1', entry('i-1'))
     await trio.sleep(2)
-    assert watched.names() == ['i-1']
+    assert follower.names() == ['i-1']
 
 
-async def test_what_went_while_only_this_vm_was_cut_off_is_gone(
-    watched, autojump_clock
+async def test_replica_that_left_during_a_partition_is_dropped(
+    follower, autojump_clock
 ):
-    """A VM is cut off from the store for long; its peers are not.
+    """Only this VM is cut off from the store while a replica leaves.
 
-    A replica leaves meanwhile. The VM took its missing entry for one that
-    had lapsed with the store, and sent it work three seconds after it left.
+    Its missing entry must not count as lapsed in an outage, which would
+    send it work after it left.
     """
-    watched.store.faults.down = True
+    follower.store.faults.down = True
     await trio.sleep(4)
-    watched.store_health.record_peer_answer(0.1)
+    follower.store_health.record_peer_answer(0.1)
     await trio.sleep(4)
-    watched.write('i-1', None)
-    watched.store.faults.down = False
+    follower.write('i-1', None)
+    follower.store.faults.down = False
     await trio.sleep(1.3)
-    assert watched.names() == ['i-2']
+    assert follower.names() == ['i-2']
 
 
-async def test_what_a_peer_saw_just_now_says_little(watched, autojump_clock):
-    """The store is back and a peer has seen it a moment sooner."""
-    watched.store.faults.down = True
-    watched.write('i-1', None)
+async def test_recent_answer_to_a_peer_does_not_rule_out_an_outage(
+    follower, autojump_clock
+):
+    """A peer reaches the store just before this VM after an outage."""
+    follower.store.faults.down = True
+    follower.write('i-1', None)
     await trio.sleep(8)
-    watched.store_health.record_peer_answer(0.0)
-    watched.store.faults.down = False
+    follower.store_health.record_peer_answer(0.0)
+    follower.store.faults.down = False
     await trio.sleep(1)
-    assert watched.names() == ['i-1', 'i-2']
+    assert follower.names() == ['i-1', 'i-2']
 
 
-async def test_a_draining_replica_is_not_kept(watched, autojump_clock):
-    watched.write('i-1', entry('i-1', state='draining'))
+async def test_draining_replica_is_not_kept_after_an_outage(
+    follower, autojump_clock
+):
+    follower.write('i-1', entry('i-1', state='draining'))
     await trio.sleep(1)
-    watched.store.faults.down = True
-    watched.write('i-1', None)
+    follower.store.faults.down = True
+    follower.write('i-1', None)
     await trio.sleep(3)
-    watched.store.faults.down = False
+    follower.store.faults.down = False
     await trio.sleep(1)
-    assert watched.names() == ['i-2']
-    assert watched.registry.get('i-1') is None
+    assert follower.names() == ['i-2']
+    assert follower.registry.get('i-1') is None
 
 
-async def test_dropped_history_is_read_anew(watched, autojump_clock):
-    """The store drops its history while a replica leaves unseen."""
-    real = watched.store.watch
+async def test_dropped_history_causes_a_new_listing(follower, autojump_clock):
+    """The history with a replica's drain is dropped before it is read."""
+    real = follower.store.watch
 
     async def gone(*args, **kwargs):
         raise errors.WatchTooOldError('gone')
 
-    watched.store.watch = gone
-    watched.write('i-1', entry('i-1', state='draining'))
+    follower.store.watch = gone
+    follower.write('i-1', entry('i-1', state='draining'))
     await trio.sleep(2)
-    watched.store.watch = real
-    assert watched.names() == ['i-2']
+    follower.store.watch = real
+    assert follower.names() == ['i-2']
 
 
-async def test_a_listing_from_the_past_is_not_taken(watched, autojump_clock):
-    """After a failed call a listing comes from before what was seen."""
-    watched.write('i-1', entry('i-1', state='draining'))
+async def test_stale_listing_is_ignored(follower, autojump_clock):
+    """A listing after a failed call is older than the changes seen."""
+    follower.write('i-1', entry('i-1', state='draining'))
     await trio.sleep(1)
-    real = watched.store.list
-    stale = [True]
+    real = follower.store.list
+    is_stale = [True]
 
     async def list_(kind, **kwargs):
         listing = await real(kind, **kwargs)
-        if stale[0]:
+        if is_stale[0]:
             return listing._replace(revision=1, objects=[])
         return listing
 
-    watched.store.list = list_
-    watched.store.faults.down = True
+    follower.store.list = list_
+    follower.store.faults.down = True
     await trio.sleep(2)
-    watched.store.faults.down = False
+    follower.store.faults.down = False
     await trio.sleep(2)
-    assert watched.names() == ['i-2']
-    stale[0] = False
+    assert follower.names() == ['i-2']
+    is_stale[0] = False
     await trio.sleep(2)
-    assert watched.names() == ['i-2']
+    assert follower.names() == ['i-2']
 
 
-async def test_an_unreadable_configuration_changes_nothing(
-    watched, autojump_clock
-):
-    table = watched.store.table
+async def test_invalid_configuration_is_skipped(follower, autojump_clock):
+    table = follower.store.table
     version = table.write('config', 'main', site.CONFIG, 0)
     await trio.sleep(1)
     version = table.write('config', 'main', {'version': 'x'}, version)
     await trio.sleep(1)
     table.write('config', 'main', {**site.CONFIG, 'version': 8}, version)
     await trio.sleep(1)
-    assert watched.versions == [7, 8]
+    assert follower.versions == [7, 8]
 
 
-async def test_the_age_of_the_last_answer(watched, autojump_clock):
-    assert watched.store_health.age_s < 2
-    watched.store.faults.down = True
+async def test_age_of_the_last_answer_grows_in_an_outage(
+    follower, autojump_clock
+):
+    assert follower.store_health.age_s < 2
+    follower.store.faults.down = True
     await trio.sleep(5)
-    assert watched.store_health.age_s > 3
+    assert follower.store_health.age_s > 3
 
 
 @pytest.mark.parametrize(
     'written', [entry('i-1', state='draining'), None], ids=['drains', 'gone']
 )
-async def test_a_silent_watch_is_noticed_within_the_drain_bound(
-    watched, autojump_clock, written
+async def test_drain_behind_a_silent_watch_is_seen_in_time(
+    follower, autojump_clock, written
 ):
-    """A cut heals, but the watch goes out on a connection of before it.
+    """A watch gets no answer on a broken connection.
 
-    Nothing comes back on it. A replica says at that moment that it leaves,
-    or its entry is removed; two seconds later it must get no more work, so
-    the change must be seen by then although the watch is silent. A watch
-    alone that fails is no outage in which entries of the living lapse.
+    A replica that drains or is removed meanwhile must get no work two
+    seconds later, and a failed watch must not count as an outage.
     """
-    real = watched.store.watch
+    real = follower.store.watch
 
     async def silent(kinds, after_revision, timeout_s, *, purpose):
         if kinds != [decoding.KIND]:
             return await real(
                 kinds, after_revision, timeout_s, purpose=purpose
             )
-        watched.store.watch = real
-        watched.write('i-1', written)
+        follower.store.watch = real
+        follower.write('i-1', written)
         await trio.sleep(timeout_s + objects.WATCH_GRACE_S)
         raise errors.StoreUnavailableError('no answer in time')
 
-    watched.store.watch = silent
-    while watched.store.watch is silent:
+    follower.store.watch = silent
+    while follower.store.watch is silent:
         await trio.sleep(0.01)
     await trio.sleep(1.9)
-    assert watched.names() == ['i-2']
+    assert follower.names() == ['i-2']
 
 
-async def test_a_store_without_history_is_not_asked_without_end(
-    watched, autojump_clock
+async def test_store_without_history_is_not_polled_in_a_tight_loop(
+    follower, autojump_clock
 ):
-    """The store drops its history each time before a watch begins.
+    """Every watch fails at once, as the store keeps no history.
 
-    Every watch is answered at once that it comes too late. A VM that lists
-    and watches without a pause spends all that the fleet may read.
+    Listing and watching without a pause would use up the fleet's reads.
     """
 
     async def gone(*args, **kwargs):
         raise errors.WatchTooOldError('gone')
 
-    watched.store.watch = gone
-    before = sum(watched.store.calls.values())
+    follower.store.watch = gone
+    before = sum(follower.store.calls.values())
     await trio.sleep(5)
-    # Two sources, each some ten listings a second at the most.
-    assert sum(watched.store.calls.values()) - before < 2 * 10 * 5
+    # Two sources, each at most about ten calls a second.
+    assert sum(follower.store.calls.values()) - before < 2 * 10 * 5
 
 
 @pytest.mark.parametrize('phase', range(16))
-async def test_a_held_watch_makes_nobody_current(
-    watched, autojump_clock, phase
+async def test_answer_to_a_pending_watch_does_not_hide_refusals(
+    follower, autojump_clock, phase
 ):
-    # Leaves of a hub that is turned away gave a leaving replica work.
+    # Otherwise leaves of a hub that the store refuses keep sending work to
+    # a draining replica.
     await trio.sleep(phase * store_watch.WATCH_TIMEOUT_S / 16)
-    assert watched.store_health.reported_age_s < hub_client.MAX_STORE_AGE_S
-    store = watched.store
+    assert follower.store_health.reported_age_s < hub_client.MAX_STORE_AGE_S
+    store = follower.store
     real = store.list, store.watch
 
     async def refuse(*_, **__):
         raise errors.StoreUnavailableError('refused')
 
     store.list = store.watch = refuse
-    # Only what a held watch of the replicas still told may count.
+    # Only the pending watch of the replicas may still count.
     await trio.sleep(
         store_watch.REPLICA_WATCH_TIMEOUT_S
         + hub_client.MAX_STORE_AGE_S
         + 0.001
     )
-    assert watched.store_health.reported_age_s > hub_client.MAX_STORE_AGE_S
+    assert follower.store_health.reported_age_s > hub_client.MAX_STORE_AGE_S
     store.list, store.watch = real
     await trio.sleep(2.0)
-    assert watched.store_health.reported_age_s < hub_client.MAX_STORE_AGE_S
+    assert follower.store_health.reported_age_s < hub_client.MAX_STORE_AGE_S
