--- a/gentianstair/gateway/hub_client.py
+++ b/gentianstair/gateway/hub_client.py
@@ -1,4 +1,4 @@
-"""Keep a leaf's one link to a hub, and take from it what it has to know."""
+"""Keep a leaf's link to a hub: report load, and apply the hub's feed."""
 
 import loguru
 import msgspec
@@ -16,24 +16,24 @@
 from gentianstair.generated import messages
 from gentianstair.peers import link
 
-# A leaf tells its load and is told all others' this often.
+# How often a leaf sends its load and gets the feed in return.
 REPORT_INTERVAL_S = 0.25
-# A hub that is silent for so long may be frozen or cut off.
+# Timeout of the hub's answer to a report.
 ANSWER_TIMEOUT_S = 0.5
 OPEN_TIMEOUT_S = 0.6
-# A hub that did not answer, or does not see the store, is tried again after
-# this time.
+# How long a hub that failed, or that lost the store, is passed over.
 HUB_COOLDOWN_S = 4.0
-# A hub whose store answered it longer ago than this is left for another. With
-# the time to notice its silence it stays well below the two seconds in which
-# a leaving replica may get new work; a hub's own watch takes less than this.
+# A leaf changes to another hub if the store last answered its hub longer ago
+# than this. Together with ANSWER_TIMEOUT_S it must be less than the two
+# seconds within which a draining replica may still get new work, and it must
+# be more than the timeout of a hub's watch.
 MAX_STORE_AGE_S = 0.9
-# Pause while there is no hub to go to, or none that was not left lately.
+# Pause while no hub is received, or all of them are passed over.
 HUB_RETRY_S = 0.5
 
 
 class HubClient:
-    """The leaf's end of its link; it moves to another hub when it must."""
+    """A leaf's link to a hub; it fails over to another hub."""
 
     def __init__(
         self,
@@ -44,92 +44,101 @@
         self._node = node
         self._network = network
         self._updates = updates
-        # Until when a hub is passed over, by its VM.
-        self._avoided_s: dict[str, float] = {}
+        # Until when each hub is passed over, by VM name.
+        self._avoided_until_s: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Stay with a hub while this VM is a leaf, until cancelled."""
+        """Keep a link to a hub while this VM is a leaf, until cancelled."""
         while True:
-            hub = self._choose()
+            hub = self._choose_hub()
             if hub is not None and self._is_avoided(hub):
-                # All were left lately, as while the store is away. A leaf
-                # that went on at once would open hundreds of links a second,
-                # at a cost to itself and to the hubs.
+                # All hubs failed lately, as in an outage of the store.
+                # Without a pause the leaf would open hundreds of links a
+                # second.
                 await trio.sleep(HUB_RETRY_S)
-                hub = self._choose()
+                hub = self._choose_hub()
             if hub is None:
                 await trio.sleep(HUB_RETRY_S)
                 continue
-            await self._stay(hub)
+            await self._use_hub(hub)
 
     def _is_avoided(self, hub: hubs.Vm) -> bool:
-        return self._avoided_s.get(hub.name, 0.0) > self._node.clock()
+        return self._avoided_until_s.get(hub.name, 0.0) > self._node.clock()
 
-    def _choose(self) -> hubs.Vm | None:
-        """Return the hub to go to, None if this VM needs none."""
+    def _choose_hub(self) -> hubs.Vm | None:
+        """Return the hub to link to, None if this VM needs or knows none."""
         roster = self._node.roster
         if roster.is_hub():
             return None
         own, now_s = roster.own, self._node.clock()
-        found = hubs.by_preference(own.name, own.failure_domain, roster.hubs())
+        preferred = hubs.by_preference(
+            own.name, own.failure_domain, roster.hubs()
+        )
         return min(
-            found,
-            # All others being avoided, the one that was left longest ago.
-            key=lambda hub: max(now_s, self._avoided_s.get(hub.name, 0.0)),
+            preferred,
+            # If all are passed over, the one whose cooldown ends first.
+            key=lambda hub: max(
+                now_s, self._avoided_until_s.get(hub.name, 0.0)
+            ),
             default=None,
         )
 
-    async def _stay(self, hub: hubs.Vm) -> None:
-        """Be told by one hub for as long as it knows what goes on."""
-        why = 'no connection in time'
+    async def _use_hub(self, hub: hubs.Vm) -> None:
+        """Exchange reports and feeds with one hub until it fails."""
+        failure = 'no connection in time'
         try:
             with trio.CancelScope() as opening:
                 opening.deadline = trio.current_time() + OPEN_TIMEOUT_S
                 async with self._network.open(hub.peer_address) as channel:
                     opening.deadline = float('inf')
-                    why = await self._converse(channel)
+                    failure = await self._exchange(channel)
         except link.LinkClosedError as error:
-            why = str(error)
-        if not why:
+            failure = str(error)
+        if not failure:
             return
-        # What this hub said last must not pass for current.
+        # The last feed must not be used any longer.
         self._node.roster.clear_hub_feed()
-        self._avoided_s[hub.name] = self._node.clock() + HUB_COOLDOWN_S
+        self._avoided_until_s[hub.name] = self._node.clock() + HUB_COOLDOWN_S
         loguru.logger.bind(event=events.LINK_LOST, peer=hub.name).info(
-            'a hub is left: {}', why
+            'left the hub: {}', failure
         )
 
-    async def _converse(self, channel: link.Channel) -> str:
-        """Tell and be told; return why the hub is left, '' for no fault."""
+    async def _exchange(self, channel: link.Channel) -> str:
+        """Send reports and apply feeds; return the failure that ends it.
+
+        It is empty if this VM has become a hub.
+        """
         node = self._node
         sent_position = 0
         process = ''
         try:
             while not node.roster.is_hub():
                 position = node.cache_news.hub_log.position
-                await channel.send(link.encode(self._word(sent_position)))
+                await channel.send(
+                    link.encode(self._make_report(sent_position))
+                )
                 sent_position = position
-                feed = await self._hear(channel)
+                feed = await self._receive_feed(channel)
                 if feed is None:
-                    return 'silent'
+                    return 'no feed in time'
                 process = feed['process']
                 try:
-                    age_s = self._take(feed)
+                    age_s = self._apply_feed(feed)
                 except errors.DecodeError as error:
-                    _unreadable(error)
-                    return 'unreadable'
+                    _log_unreadable(error)
+                    return 'invalid feed'
                 if age_s > MAX_STORE_AGE_S:
-                    return 'the store does not answer it'
+                    return 'its data from the store is too old'
                 await trio.sleep(REPORT_INTERVAL_S)
             return ''
         finally:
             node.work.forget(process)
 
-    def _word(self, sent_position: int) -> messages.GatewayLoad:
+    def _make_report(self, sent_position: int) -> messages.GatewayLoad:
         node = self._node
         return load_message(node, node.work.own(), sent_position, is_leaf=True)
 
-    async def _hear(
+    async def _receive_feed(
         self, channel: link.Channel
     ) -> messages.GatewayFeed | None:
         with trio.move_on_after(ANSWER_TIMEOUT_S):
@@ -137,14 +146,14 @@
                 try:
                     message = link.decode(await channel.receive())
                 except errors.DecodeError as error:
-                    _unreadable(error)
+                    _log_unreadable(error)
                     return None
                 if message is not None and message['type'] == 'feed':
                     return message
         return None
 
-    def _take(self, feed: messages.GatewayFeed) -> float:
-        """Take what a hub says; return the age of what it knows."""
+    def _apply_feed(self, feed: messages.GatewayFeed) -> float:
+        """Apply a hub's feed; return the age of its data from the store."""
         node, updates = self._node, self._updates
         if 'config' in feed:
             updates.apply_config(feed['config'])
@@ -152,7 +161,7 @@
         node.work.tell(feed['process'], loads.decode(feed['loads']))
         node.cache_news.apply_rows(feed['cache'], to_hubs=False)
         if age_s <= max(MAX_STORE_AGE_S, updates.store_health.age_s):
-            self._take_replicas(feed)
+            self._apply_replicas(feed)
             updates.store_health.record_hub_answer(age_s)
         if age_s <= MAX_STORE_AGE_S and node.is_informed():
             node.roster.set_hub_feed(
@@ -165,17 +174,19 @@
             )
         return age_s
 
-    def _take_replicas(self, feed: messages.GatewayFeed) -> None:
+    def _apply_replicas(self, feed: messages.GatewayFeed) -> None:
         registry = self._node.registry
         try:
-            known = msgspec.convert(feed['replicas'], list[replicas.Replica])
+            received = msgspec.convert(
+                feed['replicas'], list[replicas.Replica]
+            )
         except msgspec.ValidationError as error:
-            _unreadable(error)
+            _log_unreadable(error)
             return
         if feed['whole']:
-            registry.replace(known, after_outage=False)
+            registry.replace(received, after_outage=False)
             return
-        for replica in known:
+        for replica in received:
             registry.put(replica)
         for name in feed['gone']:
             registry.remove(name)
@@ -188,19 +199,19 @@
     is_leaf: bool,
 ) -> messages.GatewayLoad:
     """Return a VM's load report, with cache changes since sent_position."""
-    force = node.force.catalog
-    cache = node.cache_news.hub_log.since(sent_position)
+    current = node.force.catalog
+    cache_changes = node.cache_news.hub_log.since(sent_position)
     return {
         'version': link.VERSION,
         'type': 'load',
         'process': node.roster.process_name,
         'address': node.deployment.peer_address,
-        'config_version': force.version if force else 0,
+        'config_version': current.version if current else 0,
         'loads': loads.encode(work),
         'leaf': is_leaf,
-        'cache': [list(change) for _, change in cache],
+        'cache': [list(change) for _, change in cache_changes],
     }
 
 
-def _unreadable(error: Exception) -> None:
+def _log_unreadable(error: Exception) -> None:
     loguru.logger.bind(event=events.PEER_UNREADABLE).warning('{}', error)
--- a/gentianstair/gateway/hubs.py
+++ b/gentianstair/gateway/hubs.py
@@ -1,10 +1,9 @@
-"""Decide through which VMs a large fleet tells and learns.
+"""Select the hubs of a fleet, and the hubs that serve a leaf or a replica.
 
-In a fleet of some dozen VMs each may talk to each other one, watch the store
-and ask every replica. All of that grows with the square of the fleet, so in
-a larger one a few VMs, the hubs, do it, and each other VM, a leaf, keeps one
-link to a hub. The load that this answers is the fleet's own: messages, calls
-to the store and questions to replicas a second.
+In a small fleet each VM links to every other, watches the store and polls
+every replica, so the work grows with the square of the fleet. In a larger
+one only a few VMs, the hubs, do this; each other VM, a leaf, has one link
+to a hub.
 """
 
 import math
@@ -12,35 +11,36 @@
 
 import xxhash
 
-# Up to so many VMs all are hubs: in a mesh each hears the others without a
-# hop between, and there are few enough links.
+# Up to this many VMs all are hubs and form a full mesh.
 MAX_MESH_VMS = 12
-# With fewer hubs the loss of a failure domain would leave too few.
+# Lower bound in a larger fleet, so that enough hubs survive the loss of a
+# failure domain.
 MIN_HUBS = 6
-# Hubs that have a replica's cache followed, so that one may be lost.
+# How many hubs have each replica's cache followed; one of them may fail.
 HUBS_PER_REPLICA = 2
 
 
 class Vm(typing.NamedTuple):
-    """What the choice needs to know of a VM."""
+    """A VM as a candidate for a hub."""
 
     name: str
     failure_domain: str
     # HOST:PORT of its links to peers.
     peer_address: str
-    # Its share of a core times the core's speed.
+    # CPU cores that it may use, weighted by their speed.
     cores: float
 
 
 def rendezvous_score(name: str, other: str) -> int:
-    """Return how strongly one name prefers another; higher is more."""
+    """Return the rendezvous hash of two names; the highest is preferred."""
     return xxhash.xxh64_intdigest(f'{name}\n{other}'.encode())
 
 
 def hub_count(vms: int) -> int:
     """Return how many hubs a fleet has.
 
-    The leaves of a hub and the hubs grow alike, with the fleet's root.
+    Above MAX_MESH_VMS the hubs, and the leaves of each hub, grow with the
+    square root of the fleet.
 
     >>> [hub_count(vms) for vms in (1, 9, 12, 13, 75, 300, 3000)]
     [1, 9, 12, 6, 6, 12, 38]
@@ -53,20 +53,21 @@
 def select(vms: typing.Iterable[Vm]) -> list[Vm]:
     """Return the hubs: VMs with the most cores, spread over the domains.
 
-    All that know the same VMs choose the same hubs.
+    The result depends only on the set of VMs, so all VMs that see the same
+    set agree on it.
     """
-    known = {vm.name: vm for vm in vms}
+    by_name = {vm.name: vm for vm in vms}
     by_domain: dict[str, list[Vm]] = {}
-    for vm in known.values():
+    for vm in by_name.values():
         by_domain.setdefault(vm.failure_domain, []).append(vm)
     rows = []
-    for domain, found in by_domain.items():
-        found.sort(
+    for domain, members in by_domain.items():
+        members.sort(
             key=lambda vm: (-vm.cores, rendezvous_score('hub', vm.name))
         )
-        rows += [(place, domain, vm) for place, vm in enumerate(found)]
+        rows += [(position, domain, vm) for position, vm in enumerate(members)]
     rows.sort(key=lambda row: row[:2])
-    return [vm for _, _, vm in rows[: hub_count(len(known))]]
+    return [vm for _, _, vm in rows[: hub_count(len(by_name))]]
 
 
 def by_preference(
@@ -74,8 +75,9 @@
 ) -> list[Vm]:
     """Return the hubs in the order in which a leaf tries them.
 
-    Those of its own failure domain go first, as bytes between domains are
-    dear; the rest of the order differs between leaves.
+    Hubs in the leaf's failure domain come first, as traffic between domains
+    is charged. Otherwise the order differs between leaves, which spreads
+    them over the hubs.
     """
     return sorted(
         (hub for hub in hubs if hub.name != vm),
@@ -89,7 +91,7 @@
 def top_ranked(
     names: typing.Iterable[str], replica: str, limit: int = HUBS_PER_REPLICA
 ) -> list[str]:
-    """Return those of some names that a replica prefers most.
+    """Return the names with the highest rendezvous scores for a replica.
 
     >>> len(top_ranked(['a', 'b', 'c'], 'i-1'))
     2
--- a/gentianstair/gateway/leaf_feed.py
+++ b/gentianstair/gateway/leaf_feed.py
@@ -1,4 +1,4 @@
-"""Tell one leaf what this hub knows, and count the leaf's work as its own."""
+"""Serve one leaf: apply its reports, and send it what changed since."""
 
 import typing
 
@@ -12,86 +12,88 @@
 
 
 class LeafFeed:
-    """The hub's end of one leaf's link: what that leaf has been told."""
+    """The hub's end of a leaf's link: how much the leaf has been sent."""
 
     def __init__(
         self, node: nodes.Node, store_health: store_watch.StoreHealth
     ) -> None:
         self._node = node
         self._store_health = store_health
-        # The leaf's process, empty until it has said it.
-        self._leaf = ''
-        self._replicas_at: int | None = None
-        self._cache_at = 0
+        # The name of the leaf's process, empty until its first report.
+        self._process = ''
+        # Positions in the change logs up to which the leaf has been sent
+        # the replicas (None: nothing yet) and the changes of caches.
+        self._replicas_position: int | None = None
+        self._cache_position = 0
 
     def handle_report(
         self, report: messages.GatewayLoad
     ) -> messages.GatewayFeed:
-        """Take a leaf's word and return what is new since the last one."""
+        """Apply a leaf's report; return what changed since its last one."""
         node = self._node
-        self._leaf = report['process']
-        node.roster.leaves[self._leaf] = self
+        self._process = report['process']
+        node.roster.leaves[self._process] = self
         node.work.tell(
-            self._leaf, loads.decode(report['loads']), passed_on=True
+            self._process, loads.decode(report['loads']), passed_on=True
         )
         node.cache_news.apply_rows(report.get('cache', ()), to_hubs=True)
-        return self._news(report['config_version'])
+        return self._make_feed(report['config_version'])
 
     def close(self) -> None:
         """Forget the leaf, unless it has a newer link to this hub."""
         leaves = self._node.roster.leaves
-        if leaves.get(self._leaf) is self:
-            del leaves[self._leaf]
-            self._node.work.forget(self._leaf)
+        if leaves.get(self._process) is self:
+            del leaves[self._process]
+            self._node.work.forget(self._process)
 
-    def _news(self, known_version: int) -> messages.GatewayFeed:
+    def _make_feed(self, known_version: int) -> messages.GatewayFeed:
         node = self._node
-        replicas, gone, whole = self._replicas()
-        cache = node.cache_news.leaf_log.since(self._cache_at)
-        self._cache_at = node.cache_news.leaf_log.position
+        replicas, gone, is_whole = self._new_replicas()
+        cache_changes = node.cache_news.leaf_log.since(self._cache_position)
+        self._cache_position = node.cache_news.leaf_log.position
         feed: messages.GatewayFeed = {
             'version': link.VERSION,
             'type': 'feed',
             'process': node.roster.process_name,
             'age_ms': int(self._store_health.reported_age_s * 1000),
-            'loads': loads.encode(node.work.without(self._leaf)),
-            'cache': [list(change) for _, change in cache],
+            'loads': loads.encode(node.work.without(self._process)),
+            'cache': [list(change) for _, change in cache_changes],
             'replicas': replicas,
             'gone': gone,
-            'whole': whole,
+            'whole': is_whole,
             'vms': node.roster.vm_count(),
             'hubs': [encode_hub(hub) for hub in node.roster.hubs()],
-            'follow': node.roster.assigned_replicas(self._leaf),
+            'follow': node.roster.assigned_replicas(self._process),
         }
-        force = node.force.catalog
-        if force is not None and force.version > known_version:
-            feed['config'] = force.raw
+        current = node.force.catalog
+        if current is not None and current.version > known_version:
+            feed['config'] = current.raw
         return feed
 
-    def _replicas(self) -> tuple[list[list[typing.Any]], list[str], bool]:
-        """Return replicas that are new to the leaf, those gone, and if all."""
+    def _new_replicas(self) -> tuple[list[list[typing.Any]], list[str], bool]:
+        """Return changed replicas, removed ones, and if the list is whole."""
         registry = self._node.registry
-        since = self._replicas_at
+        since = self._replicas_position
         if not registry.known.is_set():
             return [], [], False
-        self._replicas_at = registry.changes.position
+        self._replicas_position = registry.changes.position
         if since is None:
             return [list(replica) for replica in registry.all()], [], True
         changes = registry.changes.since(since)
-        there = [list(replica) for _, replica in changes if replica]
+        changed = [list(replica) for _, replica in changes if replica]
         gone = [name for name, replica in changes if replica is None]
-        return there, gone, False
+        return changed, gone, False
 
 
 def encode_hub(hub: hubs.Vm) -> list[str]:
-    """Return a hub as leaves are told of it."""
+    """Return a hub as a row of a feed."""
     return [hub.name, hub.failure_domain, hub.peer_address]
 
 
 def decode_hub(row: list[str]) -> hubs.Vm:
-    """Return a hub from what a leaf was told; raise DecodeError."""
+    """Return the hub in a row of a feed; raise DecodeError."""
     try:
         name, failure_domain, peer_address = row
     except ValueError as error:
-        raise errors.DecodeError(f'a hub: {error}') from error
+        raise errors.DecodeError(f'bad hub row: {error}') from error
     return hubs.Vm(name, failure_domain, peer_address, 0.0)
--- a/gentianstair/gateway/peer_links.py
+++ b/gentianstair/gateway/peer_links.py
@@ -1,8 +1,7 @@
-"""Link the hubs: tell loads, and learn from them when the store is away.
+"""Keep the links between hubs, and serve the leaves that link to this hub.
 
-The store may refuse some VMs while it serves the others and the operator. A
-VM that it refuses would go on with old keys and routes, so it asks its peers
-for what they have read.
+Hubs send each other their load. A VM that the store refuses, while it
+answers others, asks its peers for the configuration and the replicas.
 """
 
 import math
@@ -24,100 +23,107 @@
 from gentianstair.generated import messages
 from gentianstair.peers import link
 
-# Loads are told this often. A choice of a replica goes wrong when it is made
-# on a load older than the time in which a prompt is read, some 0.2 s.
-TELL_S = 0.2
-# Share of that pause which is kept also when there is more to tell.
-LEAST_PAUSE_SHARE = 0.15
-# With more peers than this they are told less often, so that telling costs
-# a VM the same.
+# How often a hub sends its load to each other hub. Loads older than a
+# typical prefill, some 0.2 s, lead to wrong choices of replicas.
+LOAD_INTERVAL_S = 0.2
+# Share of LOAD_INTERVAL_S that is always waited, also when a long prefill
+# is to be reported at once.
+MIN_PAUSE_SHARE = 0.15
+# With more peers than this the interval grows in proportion, which bounds
+# the messages that a VM sends a second.
 FULL_RATE_PEERS = 16
-# A VM asks its peers when the store has not answered for this long: a watch
-# that waits in vain is answered sooner.
-STORE_AWAY_S = 2.4
-# Pause between questions; a configuration must be in force everywhere
-# within seconds although the store refuses this VM.
-ASK_S = 0.8
+# A VM that the store has not answered for this long asks its peers. It is
+# longer than a watch that times out.
+STORE_OUTAGE_S = 2.4
+# Pause between queries to peers. A new configuration must be in force on
+# all VMs within seconds, also on one that the store refuses.
+QUERY_INTERVAL_S = 0.8
 # Mean pause before a lost link is opened again.
-RECONNECT_S = 0.7
-LOOK_S = 0.5
-# The longest that one message may take to be sent before the link is dropped.
-SEND_S = 1.0
-# A peer that tells nothing for so long has gone without a word.
-SILENT_S = 5.0
+MEAN_RECONNECT_S = 0.7
+# How often the set of peers to link to is checked.
+PEERS_CHECK_S = 0.5
+# Timeout of sending one message; then the link is closed.
+SEND_TIMEOUT_S = 1.0
+# Timeout of receiving on a link that a peer opened.
+RECEIVE_TIMEOUT_S = 5.0
 
 
 class PeerLinks:
-    """Links of a hub: one to and one from each other, one from each leaf."""
+    """A hub's links: one to and one from each hub, one from each leaf."""
 
     def __init__(
         self,
         node: nodes.Node,
         network: link.Network,
         updates: peer_updates.PeerUpdates,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._node = node
         self._network = network
         self._updates = updates
-        self._random = chance
+        self._rng = rng
         self._open: dict[str, link.Channel] = {}
-        # Addresses heard of from seeds and peers, beside the members'.
-        self._heard: set[str] = set(node.deployment.peer_seeds)
-        # The highest version of the configuration a peer says it has.
+        # Peer addresses from the seeds and from peers, for use when the
+        # store does not list the VMs.
+        self._known_addresses: set[str] = set(node.deployment.peer_seeds)
+        # The highest configuration version that a peer has reported.
         self._newest_version = 0
 
     async def run(self) -> None:
-        """Keep the links until cancelled."""
+        """Keep a link to each peer until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._network.serve, self._accept)
-            nursery.start_soon(self._ask_when_away)
-            linked: dict[str, trio.CancelScope] = {}
+            nursery.start_soon(self._query_peers)
+            scopes: dict[str, trio.CancelScope] = {}
             while True:
-                wanted = self._wanted()
-                for address in set(linked) - wanted:
-                    linked.pop(address).cancel()
-                for address in wanted - set(linked):
-                    linked[address] = trio.CancelScope()
-                    nursery.start_soon(self._keep, address, linked[address])
-                await trio.sleep(LOOK_S)
+                wanted = self._wanted_peers()
+                for address in set(scopes) - wanted:
+                    scopes.pop(address).cancel()
+                for address in wanted - set(scopes):
+                    scopes[address] = trio.CancelScope()
+                    nursery.start_soon(
+                        self._keep_link, address, scopes[address]
+                    )
+                await trio.sleep(PEERS_CHECK_S)
 
-    def _wanted(self) -> set[str]:
+    def _wanted_peers(self) -> set[str]:
         roster = self._node.roster
         if not roster.is_hub():
             return set()
-        found = {hub.peer_address for hub in roster.hubs()}
-        if len(found) <= 1 or self._away():
-            # The store does not show who is there.
-            found |= self._heard
+        addresses = {hub.peer_address for hub in roster.hubs()}
+        if len(addresses) <= 1 or self._store_is_down():
+            # The store may not list all VMs.
+            addresses |= self._known_addresses
         else:
-            self._heard = set(found)
-        return found - {self._node.deployment.peer_address}
+            self._known_addresses = set(addresses)
+        return addresses - {self._node.deployment.peer_address}
 
-    def _away(self) -> bool:
-        return self._updates.store_health.age_s > STORE_AWAY_S
+    def _store_is_down(self) -> bool:
+        return self._updates.store_health.age_s > STORE_OUTAGE_S
 
-    async def _keep(self, address: str, scope: trio.CancelScope) -> None:
-        """Keep a link to one peer open and tell it this VM's load."""
+    async def _keep_link(self, address: str, scope: trio.CancelScope) -> None:
+        """Keep a link to one peer open and send it this VM's load."""
         with scope:
             while True:
                 try:
                     async with self._network.open(address) as channel:
-                        await self._speak(address, channel)
+                        await self._use_link(address, channel)
                 except link.LinkClosedError as error:
                     loguru.logger.bind(
                         event=events.LINK_LOST, peer=address
                     ).debug('{}', error)
-                await trio.sleep(RECONNECT_S * self._random.uniform(0.7, 1.3))
+                await trio.sleep(
+                    MEAN_RECONNECT_S * self._rng.uniform(0.7, 1.3)
+                )
 
-    async def _speak(self, address: str, channel: link.Channel) -> None:
+    async def _use_link(self, address: str, channel: link.Channel) -> None:
         self._open[address] = channel
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._tell, channel)
+                nursery.start_soon(self._send_loads, channel)
                 try:
-                    # Only answers to questions come back on it.
-                    await self._hear(channel, math.inf)
+                    # The peer sends only answers to queries on this link.
+                    await self._receive(channel, math.inf)
                 finally:
                     nursery.cancel_scope.cancel()
         except* link.LinkClosedError as group:
@@ -126,103 +132,106 @@
             if self._open.get(address) is channel:
                 del self._open[address]
 
-    async def _tell(self, channel: link.Channel) -> None:
+    async def _send_loads(self, channel: link.Channel) -> None:
         node = self._node
         sent_position = 0
         while True:
-            news = node.cache_news.hub_log
+            cache_log = node.cache_news.hub_log
             message = hub_client.load_message(
                 node, node.work.part(), sent_position, is_leaf=False
             )
-            sent_position = news.position
+            sent_position = cache_log.position
             await _send(channel, message)
-            crowd = len(self._open) / FULL_RATE_PEERS
-            pause_s = TELL_S * max(1.0, crowd)
-            await trio.sleep(pause_s * LEAST_PAUSE_SHARE)
-            with trio.move_on_after(pause_s * (1 - LEAST_PAUSE_SHARE)):
+            slowdown = len(self._open) / FULL_RATE_PEERS
+            pause_s = LOAD_INTERVAL_S * max(1.0, slowdown)
+            await trio.sleep(pause_s * MIN_PAUSE_SHARE)
+            with trio.move_on_after(pause_s * (1 - MIN_PAUSE_SHARE)):
                 await node.work.wait_long()
 
     async def _accept(self, channel: link.Channel) -> None:
-        """Serve a link that a peer opened."""
+        """Serve a link that a peer opened, a hub or a leaf."""
         leaf = leaf_feed.LeafFeed(self._node, self._updates.store_health)
         try:
-            await self._hear(channel, SILENT_S, leaf)
+            await self._receive(channel, RECEIVE_TIMEOUT_S, leaf)
         except link.LinkClosedError as error:
             loguru.logger.bind(event=events.LINK_LOST).debug('{}', error)
             await channel.aclose()
         finally:
             leaf.close()
 
-    async def _hear(
+    async def _receive(
         self,
         channel: link.Channel,
-        limit_s: float,
+        timeout_s: float,
         leaf: leaf_feed.LeafFeed | None = None,
     ) -> None:
         while True:
             data = None
-            with trio.move_on_after(limit_s):
+            with trio.move_on_after(timeout_s):
                 data = await channel.receive()
             if data is None:
-                raise link.LinkClosedError('silent')
+                raise link.LinkClosedError('no message from the peer in time')
             try:
                 message = link.decode(data)
                 if message is not None:
-                    await self._take(channel, message, leaf)
+                    await self._handle(channel, message, leaf)
             except errors.DecodeError as error:
-                # One peer's fault must not end the links to all others.
+                # One peer's bad message must not end the other links.
                 loguru.logger.bind(event=events.PEER_UNREADABLE).warning(
                     '{}', error
                 )
 
-    async def _take(
+    async def _handle(
         self,
         channel: link.Channel,
         message: link.Message,
         leaf: leaf_feed.LeafFeed | None,
     ) -> None:
         if message['type'] == 'load' and message.get('leaf') and leaf:
-            told = typing.cast(messages.GatewayLoad, message)
-            await _send(channel, leaf.handle_report(told))
+            report = typing.cast(messages.GatewayLoad, message)
+            await _send(channel, leaf.handle_report(report))
         elif message['type'] == 'load':
-            self._take_load(typing.cast(messages.GatewayLoad, message))
+            self._handle_load(typing.cast(messages.GatewayLoad, message))
         elif message['type'] == 'ask_news':
-            await _send(channel, self._news(message['config_version']))
+            await _send(channel, self._make_news(message['config_version']))
         elif message['type'] == 'news':
-            self._take_news(typing.cast(messages.GatewayNews, message))
+            self._handle_news(typing.cast(messages.GatewayNews, message))
 
-    def _take_load(self, message: messages.GatewayLoad) -> None:
-        found = loads.decode(message['loads'])
-        self._node.work.tell(message['process'], found)
+    def _handle_load(self, message: messages.GatewayLoad) -> None:
+        peer_loads = loads.decode(message['loads'])
+        self._node.work.tell(message['process'], peer_loads)
         self._node.cache_news.apply_rows(
             message.get('cache', ()), to_hubs=False
         )
-        self._heard.add(message['address'])
+        self._known_addresses.add(message['address'])
         self._newest_version = max(
             self._newest_version, message['config_version']
         )
 
-    def _news(self, known_version: int) -> messages.GatewayNews:
+    def _make_news(self, known_version: int) -> messages.GatewayNews:
         node = self._node
         news: messages.GatewayNews = {
             'version': link.VERSION,
             'type': 'news',
             'age_ms': int(self._updates.store_health.age_s * 1000),
             'replicas': [list(r) for r in node.registry.all()],
-            'addresses': sorted(self._heard),
+            'addresses': sorted(self._known_addresses),
         }
-        force = node.force.catalog
-        if force is not None and force.version > known_version:
-            news['config'] = force.raw
+        current = node.force.catalog
+        if current is not None and current.version > known_version:
+            news['config'] = current.raw
         return news
 
-    def _take_news(self, news: messages.GatewayNews) -> None:
-        self._heard.update(news['addresses'])
+    def _handle_news(self, news: messages.GatewayNews) -> None:
+        self._known_addresses.update(news['addresses'])
         if 'config' in news:
             self._updates.apply_config(news['config'])
         age_s = news['age_ms'] / 1000
         self._updates.store_health.record_peer_answer(age_s)
-        if not self._away() or age_s > self._updates.store_health.age_s:
+        if (
+            not self._store_is_down()
+            or age_s > self._updates.store_health.age_s
+        ):
             return
         try:
             known = msgspec.convert(news['replicas'], list[replicas.Replica])
@@ -233,28 +242,31 @@
             return
         self._node.registry.replace(known, after_outage=False)
 
-    def _behind(self) -> bool:
-        force = self._node.force.catalog
-        return (force.version if force else 0) < self._newest_version
+    def _config_is_behind(self) -> bool:
+        current = self._node.force.catalog
+        return (current.version if current else 0) < self._newest_version
 
-    async def _ask_when_away(self) -> None:
-        """Ask a peer for news while the store is silent or others know more.
+    async def _query_peers(self) -> None:
+        """Query a peer while the store is down or a peer has newer config.
 
-        A different peer is asked each time: one may be cut off as well.
+        Each query goes to a random peer, as the store may refuse some of
+        them, too.
         """
         while True:
-            await trio.sleep(ASK_S)
-            if not self._open or not (self._away() or self._behind()):
+            await trio.sleep(QUERY_INTERVAL_S)
+            if not self._open or not (
+                self._store_is_down() or self._config_is_behind()
+            ):
                 continue
-            address = self._random.choice(sorted(self._open))
-            force = self._node.force.catalog
-            ask: messages.GatewayAsk = {
+            address = self._rng.choice(sorted(self._open))
+            current = self._node.force.catalog
+            query: messages.GatewayAsk = {
                 'version': link.VERSION,
                 'type': 'ask_news',
-                'config_version': force.version if force else 0,
+                'config_version': current.version if current else 0,
             }
             try:
-                await _send(self._open[address], ask)
+                await _send(self._open[address], query)
             except link.LinkClosedError as error:
                 loguru.logger.bind(event=events.LINK_LOST, peer=address).debug(
                     '{}', error
@@ -262,27 +274,27 @@
 
 
 async def _send(channel: link.Channel, message: typing.Any) -> None:
-    """Send a message; a peer that takes none for long is dropped.
+    """Send a message; close the link if that takes too long.
 
-    A silent connection or a frozen peer would otherwise hold the link's
-    task for minutes while new connections work.
+    A broken connection or a frozen peer would otherwise block the link's
+    task for minutes although a new connection may work.
     """
-    with trio.move_on_after(SEND_S) as scope:
+    with trio.move_on_after(SEND_TIMEOUT_S) as scope:
         await channel.send(link.encode(message))
     if scope.cancelled_caught:
         await channel.aclose()
-        raise link.LinkClosedError('the peer takes nothing')
+        raise link.LinkClosedError('sending timed out')
 
 
 async def run(node: nodes.Node, updates: peer_updates.PeerUpdates) -> None:
-    """Keep the links of a process, as a hub or a leaf, until cancelled."""
-    found = node.deployment
-    network = link.WebsocketNetwork(found.peer_address, None)
-    links = PeerLinks(node, network, updates, random.Random(found.vm))
-    to_hub = hub_client.HubClient(node, network, updates)
+    """Keep this process's links, as a hub or a leaf, until cancelled."""
+    deployment = node.deployment
+    network = link.WebsocketNetwork(deployment.peer_address, None)
+    links = PeerLinks(node, network, updates, random.Random(deployment.vm))
+    client = hub_client.HubClient(node, network, updates)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(links.run)
-        nursery.start_soon(to_hub.run)
+        nursery.start_soon(client.run)
 
 
 __all__ = ['PeerLinks', 'run']
--- a/gentianstair/gateway/roster.py
+++ b/gentianstair/gateway/roster.py
@@ -1,8 +1,8 @@
-"""Know this VM's place in the fleet: hub or leaf, and what it follows.
+"""Track the fleet's VMs, this VM's role (hub or leaf) and its replicas.
 
-A leaf learns from its hub how many VMs there are, who the hubs are and which
-replicas' caches it is to follow. While no hub tells it anything it reads the
-store by itself, as a hub does.
+A leaf learns from its hub's feed how many VMs there are, which are hubs and
+whose replicas' caches it follows. Without a current feed it reads the store
+itself, as a hub does.
 """
 
 import math
@@ -13,21 +13,21 @@
 from gentianstair.gateway import replicas
 from gentianstair.util import clock as clocks
 
-# A leaf whose hub was silent for so long reads the store by itself. With the
-# call to the store it must stay below the time in which a leaving replica
-# may get new work.
+# A leaf without a feed for this long reads the store itself. Together with
+# the call to the store it must take less than the two seconds within which a
+# draining replica may still get new work.
 FEED_TIMEOUT_S = 1.2
-# A choice of hubs holds for so long.
+# How long a selection of hubs is reused.
 HUB_SELECTION_S = 0.3
-# Assignments of replicas to VMs hold for so long.
+# How long an assignment of replicas to VMs is reused.
 ASSIGNMENT_S = 0.5
-# Calls that a replica keeps waiting are shared with VMs that were replaced
-# and whose calls have not ended yet.
+# Pending calls at a replica that are left to VMs which were replaced and
+# whose calls have not ended yet.
 RESERVED_CALLS = 2
 
 
 class HubFeed(typing.NamedTuple):
-    """What a leaf's hub said last."""
+    """The fleet as the last feed of a leaf's hub described it."""
 
     received_s: float
     vm_count: int
@@ -36,7 +36,7 @@
 
 
 class Roster:
-    """The VMs of the fleet as this one sees them."""
+    """The VMs of the fleet as this one knows them."""
 
     def __init__(
         self,
@@ -50,13 +50,16 @@
         self._registry = registry
         self._clock = clock
         self._hub_feed: HubFeed | None = None
-        # The hubs by what this VM sees itself, and until when that holds.
+        # The hubs selected from the VMs in the store, and until when this
+        # selection is reused.
         self._selected: list[hubs.Vm] = []
         self._selected_until_s = -math.inf
-        # The newest link of each leaf's process that this VM tells.
+        # The newest link of each leaf that this hub serves, by the name of
+        # the leaf's process.
         self.leaves: dict[str, typing.Any] = {}
+        # The replicas that each process follows, by its name.
         self._assigned: dict[str, list[str]] = {}
-        self._assigned_s: float | None = None
+        self._assigned_at_s: float | None = None
 
     @property
     def process_name(self) -> str:
@@ -64,19 +67,19 @@
         return self._members.name
 
     def set_hub_feed(self, feed: HubFeed) -> None:
-        """Take what a hub says."""
+        """Set the hub's newest feed."""
         self._hub_feed = feed
 
     def clear_hub_feed(self) -> None:
-        """Forget what a hub said, as it says no more."""
+        """Drop the feed of a hub that was left."""
         self._hub_feed = None
 
     def has_hub_feed(self) -> bool:
-        """Return whether a hub keeps this VM up to date."""
+        """Return whether this VM is a leaf with a current feed."""
         return self._current_feed() is not None and not self.is_hub()
 
     def _current_feed(self) -> HubFeed | None:
-        """Return what a hub said, unless that is long ago."""
+        """Return the hub's last feed, or None if it is too old."""
         feed = self._hub_feed
         if feed is None or self._clock() - feed.received_s > FEED_TIMEOUT_S:
             return None
@@ -84,7 +87,7 @@
 
     def vms(self) -> list[hubs.Vm]:
         """Return the VMs that this one sees in the store, itself included."""
-        found = {
+        by_name = {
             member.record.vm: hubs.Vm(
                 member.record.vm,
                 member.record.failure_domain,
@@ -93,11 +96,11 @@
             )
             for member in self._members.alive()
         }
-        found[self.own.name] = self.own
-        return list(found.values())
+        by_name[self.own.name] = self.own
+        return list(by_name.values())
 
     def vm_count(self) -> int:
-        """Return how many VMs there are, if that is known."""
+        """Return how many VMs there are, or an assumed number."""
         feed = self._current_feed()
         return feed.vm_count if feed else self._members.count()
 
@@ -123,49 +126,49 @@
         return len(self.hubs()) == len(self.vms())
 
     def reads_cache_list(self, replica: str) -> bool:
-        """Return whether this VM reads for all others what a replica keeps.
+        """Return whether this VM lists a replica's cache for all others.
 
-        A leaf that follows a replica was chosen to by its hub.
+        In a mesh a few hubs do; in a larger fleet any VM that follows it.
         """
         if not self.is_mesh():
             return True
-        names = [hub.name for hub in self.hubs()]
-        return self.own.name in hubs.top_ranked(names, replica)
+        hub_names = [hub.name for hub in self.hubs()]
+        return self.own.name in hubs.top_ranked(hub_names, replica)
 
     def shares_cache_updates(self) -> bool:
-        """Return whether VMs tell each other what replicas keep.
+        """Return whether VMs forward changes of replicas' caches.
 
-        A small fleet need not, as each of its VMs asks each replica.
+        In a small fleet each VM polls each replica itself.
         """
         calls = self._registry.cache_calls
         return not self.is_mesh() or len(self.hubs()) > calls - RESERVED_CALLS
 
     def followed_replicas(self) -> set[str]:
-        """Return the names of the replicas whose caches to follow here."""
+        """Return the replicas whose caches this process follows."""
         feed = self._current_feed()
         if feed is not None and not self.is_hub():
             return set(feed.followed_replicas)
         return set(self.assigned_replicas(self._members.name))
 
-    def assigned_replicas(self, process: str) -> list[str]:
-        """Return the replicas that a leaf, or this process, is to follow."""
+    def assigned_replicas(self, process_name: str) -> list[str]:
+        """Return the replicas that a process, a leaf's or this, follows."""
         now_s = self._clock()
-        at_s = self._assigned_s
-        if at_s is None or now_s - at_s > ASSIGNMENT_S:
+        assigned_at_s = self._assigned_at_s
+        if assigned_at_s is None or now_s - assigned_at_s > ASSIGNMENT_S:
             self._assigned = self._assign()
-            self._assigned_s = now_s
-        return self._assigned.get(process, [])
+            self._assigned_at_s = now_s
+        return self._assigned.get(process_name, [])
 
     def _assign(self) -> dict[str, list[str]]:
-        """Share the replicas that this hub answers for with its leaves."""
-        names = [r.name for r in self._registry.all() if r.stage]
+        """Distribute this hub's replicas over its leaves."""
+        replica_names = [r.name for r in self._registry.all() if r.stage]
         if not self.shares_cache_updates():
-            return {self._members.name: names}
+            return {self._members.name: replica_names}
         hub_names = [hub.name for hub in self.hubs()]
-        takers = sorted(self.leaves) or [self._members.name]
-        found: dict[str, list[str]] = {}
-        for name in names:
+        process_names = sorted(self.leaves) or [self._members.name]
+        assigned: dict[str, list[str]] = {}
+        for name in replica_names:
             if self.own.name in hubs.top_ranked(hub_names, name):
-                (taker,) = hubs.top_ranked(takers, name, 1)
-                found.setdefault(taker, []).append(name)
-        return found
+                (process_name,) = hubs.top_ranked(process_names, name, 1)
+                assigned.setdefault(process_name, []).append(name)
+        return assigned
--- a/test/gateway/test_hub_client.py
+++ b/test/gateway/test_hub_client.py
@@ -1,4 +1,4 @@
-"""Test how a leaf goes from hub to hub, without a network."""
+"""Test how a leaf fails over between hubs, without a network."""
 
 import contextlib
 import types
@@ -11,16 +11,16 @@
 from gentianstair.peers import link
 from gentianstair.util import clock
 
-# What one try costs on loopback, about.
+# How long the stand-in takes to open a link.
 OPEN_S = 0.003
 RUN_S = 20.0
 
 
-class Hubs:
-    """A network and roster of hubs that fail until one is well."""
+class FailingHubs:
+    """A network and roster of hubs that all fail."""
 
     def __init__(self, count):
-        self.found = [
+        self.vms = [
             hubs.Vm(f'hub-{n}', 'a', f'10.0.0.{n}:1', 2.0)
             for n in range(count)
         ]
@@ -31,7 +31,7 @@
         return False
 
     def hubs(self):
-        return self.found
+        return self.vms
 
     def clear_hub_feed(self):
         pass
@@ -40,7 +40,7 @@
     async def open(self, address):
         self.opened.append((address, trio.current_time()))
         await trio.sleep(OPEN_S)
-        raise link.LinkClosedError('it does not see the store')
+        raise link.LinkClosedError('the hub has lost the store')
         yield
 
 
@@ -49,22 +49,22 @@
 
 
 @pytest.mark.parametrize('count', [1, 6])
-async def test_hubs_that_all_fail_are_tried_with_pauses(
+async def test_pauses_between_tries_when_all_hubs_fail(
     autojump_clock, nursery, count
 ):
-    # A leaf opened links to hubs hundreds of times a second.
-    found = Hubs(count)
-    node = types.SimpleNamespace(roster=found, clock=clock.trio_time_s)
-    leaf = hub_client.HubClient(node, found, None)
+    # Otherwise a leaf opens hundreds of links a second.
+    failing = FailingHubs(count)
+    node = types.SimpleNamespace(roster=failing, clock=clock.trio_time_s)
+    leaf = hub_client.HubClient(node, failing, None)
     began_s = trio.current_time()
     with trio.move_on_after(RUN_S):
         await leaf.run()
-    times = [at_s - began_s for _, at_s in found.opened]
+    times = [at_s - began_s for _, at_s in failing.opened]
     # The first round goes through all of them at once.
     assert times[count - 1] <= 2 * OPEN_S * count
     later = gaps_s(times[count - 1 :])
     assert min(later) >= hub_client.HUB_RETRY_S
     # It goes on trying, and each of them.
     assert max(later) <= hub_client.HUB_RETRY_S + 2 * OPEN_S
-    tried = {address for address, _ in found.opened[count:]}
-    assert tried == {hub.peer_address for hub in found.found}
+    tried = {address for address, _ in failing.opened[count:]}
+    assert tried == {hub.peer_address for hub in failing.vms}
--- a/test/gateway/test_hubs.py
+++ b/test/gateway/test_hubs.py
@@ -1,4 +1,4 @@
-"""Test which VMs a large fleet makes its hubs, and how its leaves learn."""
+"""Test the selection of hubs, and what leaves learn from them."""
 
 import collections
 import contextlib
@@ -12,10 +12,12 @@
 from test.gateway import gateways
 
 
-def fleet(count, domains=3, big=0):
-    """Return VMs spread over domains; the first big ones have more cores."""
+def fleet(count, domains=3, large=0):
+    """Return VMs spread over domains; the first large ones get more cores."""
     return [
-        hubs.Vm(f'vm-{n}', f'd{n % domains}', f'10.0.0.{n}:1', 2.0 * (n < big))
+        hubs.Vm(
+            f'vm-{n}', f'd{n % domains}', f'10.0.0.{n}:1', 2.0 * (n < large)
+        )
         for n in range(count)
     ]
 
@@ -32,16 +34,16 @@
 
 
 def test_hubs_are_the_vms_with_the_most_cores():
-    found = hubs.select(fleet(75, big=6))
+    found = hubs.select(fleet(75, large=6))
     assert {hub.name for hub in found} == {f'vm-{n}' for n in range(6)}
 
 
-def test_all_who_know_the_same_choose_the_same():
+def test_selection_does_not_depend_on_the_order_of_vms():
     vms = fleet(75)
     assert hubs.select(vms) == hubs.select(reversed(vms))
 
 
-def test_leaves_go_to_their_own_domain_and_are_shared_out():
+def test_leaves_prefer_hubs_of_their_domain_and_spread_over_them():
     vms = fleet(75)
     found = hubs.select(vms)
     leaves = [vm for vm in vms if vm not in found]
@@ -56,7 +58,7 @@
     assert max(taken.values()) < 3 * len(leaves) / len(found)
 
 
-def test_a_lost_hub_moves_few_replicas():
+def test_lost_hub_moves_only_its_own_replicas():
     names = [f'vm-{n}' for n in range(6)]
     replicas = [f'i-{n}' for n in range(100)]
     before = {r: set(hubs.top_ranked(names, r)) for r in replicas}
@@ -67,14 +69,14 @@
 
 @pytest.fixture
 def one_hub(monkeypatch):
-    """Make fleets of two VMs and more have one hub."""
+    """Give a fleet of two or more VMs a single hub."""
     monkeypatch.setattr(hubs, 'MAX_MESH_VMS', 1)
     monkeypatch.setattr(hubs, 'MIN_HUBS', 1)
 
 
 @contextlib.asynccontextmanager
 async def linked(tmp_path, count=4):
-    """Yield a site and its gateways when leaves have had time to link."""
+    """Yield a site and its gateways after the leaves have linked."""
     async with sites.running() as site:
         async with gateways.running(site, tmp_path, count) as found:
             await trio.sleep(2.0)
@@ -91,12 +93,12 @@
     return vm
 
 
-async def test_one_vm_asks_for_a_large_fleet(tmp_path, one_hub):
-    """In a fleet of 75 VMs each asked each replica what it keeps.
+async def test_only_the_hub_reads_the_store_and_polls_replicas(
+    tmp_path, one_hub
+):
+    """A large fleet must not poll each replica and the store from each VM.
 
-    A replica keeps a dozen such calls waiting and refused the others at
-    once, thousands a second, while each VM watched the store on its own:
-    the fleet did little else, and callers waited behind it.
+    A replica holds a dozen pending calls and refuses the others at once.
     """
     async with linked(tmp_path) as (site, found):
         site.faults.calls.clear()
@@ -112,22 +114,23 @@
             assert (await gateway.call('GET', '/lookup/entry')).is_success
 
 
-async def test_a_busy_cache_is_not_asked_without_a_pause(tmp_path, one_hub):
+async def test_polls_of_a_busy_cache_are_batched(tmp_path, one_hub):
     """A replica's cache changes twenty times a second, as under load.
 
-    Each change ended a waiting call and began the next one: a large fleet
-    spent more on these than on its callers' requests.
+    One call for each change would cost more than the callers' requests.
     """
     async with linked(tmp_path) as (site, _):
-        busy = site.replica('i-reader')
-        asked = busy.cache_asks
+        replica = site.replica('i-reader')
+        calls_before = replica.cache_asks
         for number in range(40):
-            busy.changes.append([number, '+', '', f'{number:x}', 900, 'm'])
+            replica.changes.append([number, '+', '', f'{number:x}', 900, 'm'])
             await trio.sleep(0.05)
-        assert 0 < busy.cache_asks - asked <= 5
+        assert 0 < replica.cache_asks - calls_before <= 5
 
 
-async def test_leaves_learn_of_caches_replicas_and_versions(tmp_path, one_hub):
+async def test_leaves_learn_caches_replicas_and_configuration(
+    tmp_path, one_hub
+):
     async with linked(tmp_path) as (site, found):
         warm = site.replica('i-reader')
         warm.kept = {'c0de': 13300}
@@ -148,17 +151,17 @@
                 'POST', '/ask/rule', f'k{number}', **headers
             )
             assert answer.status_code == 200
-        # All were read where the part was kept, or copied it from there.
+        # Each prompt was sent to the replica that has the part cached, or
+        # the part was copied from there.
         assert warm.arrivals + sum(
             len(replica.copied) for replica in site.replicas
         ) >= len(found)
 
 
-async def test_a_leaf_goes_on_when_its_hub_is_lost(tmp_path, one_hub):
-    """The one hub dies, and a replica leaves right after.
+async def test_leaves_of_a_lost_hub_see_a_drain_in_time(tmp_path, one_hub):
+    """The only hub dies, and a replica drains right after.
 
-    Leaves that went on with what the hub said last would send work to the
-    replica that has left; they read the store themselves in time.
+    Leaves that kept using the last feed would send work to that replica.
     """
     async with linked(tmp_path) as (site, found):
         site.faults.calls.clear()
@@ -176,13 +179,10 @@
         assert site.replica('i-desk-1').arrivals == before
 
 
-async def test_a_leaf_leaves_a_hub_that_the_store_turns_away(
-    tmp_path, one_hub
-):
-    """The store refuses the hub while it serves the others.
+async def test_leaves_change_hub_when_the_store_refuses_it(tmp_path, one_hub):
+    """The store refuses the hub but serves the other VMs.
 
-    What the hub tells grows old; its leaves must read the store themselves,
-    or a replica that leaves would go on getting work.
+    Leaves that kept using its feed would send work to a draining replica.
     """
     async with linked(tmp_path) as (site, found):
         site.faults.calls.clear()
@@ -201,17 +201,17 @@
         assert site.replica('i-desk-1').arrivals == before
 
 
-async def test_an_answer_that_was_under_way_makes_no_hub_current(
+async def test_pending_watch_does_not_keep_a_refused_hub_current(
     tmp_path, one_hub
 ):
-    # Its leaves gave a leaving replica work for more than two seconds.
+    # Otherwise its leaves send work to a draining replica for too long.
     async with linked(tmp_path) as (site, found):
         site.faults.calls.clear()
         await trio.sleep(1.0)
         hub = hub_of(site)
-        asked = site.faults.calls[hub, 'config']
+        calls_before = site.faults.calls[hub, 'config']
         with trio.fail_after(2.0):
-            while site.faults.calls[hub, 'config'] == asked:
+            while site.faults.calls[hub, 'config'] == calls_before:
                 await trio.sleep(0.005)
         site.faults.refused_vms.add(hub)
         site.faults.refused_status = 503
--- a/test/gateway/test_leaf_feed.py
+++ b/test/gateway/test_leaf_feed.py
@@ -1,4 +1,4 @@
-"""Test a hub's ends of the links that its leaves open."""
+"""Test the feeds that a hub serves to its leaves."""
 
 import types
 
@@ -10,7 +10,7 @@
 from gentianstair.gateway import roster as rosters
 
 LEAF = 'vm-2.ab'
-WORD = {
+REPORT = {
     'process': LEAF,
     'loads': loads.encode({'i-1': loads.Load(3, 40.0)}),
     'config_version': 0,
@@ -18,7 +18,7 @@
 
 
 def make_node():
-    """Return what a hub's end of a link needs of a process."""
+    """Return the parts of a node that a leaf's feed uses."""
 
     def clock():
         return 100.0
@@ -40,13 +40,13 @@
     )
 
 
-def test_the_end_of_a_replaced_link_forgets_nothing():
-    # The hub forgot a leaf that had told it more on a new link.
+def test_closing_a_replaced_link_keeps_the_leaf():
+    # The leaf has already reported on a newer link.
     node = make_node()
     store_health = types.SimpleNamespace(reported_age_s=0.0)
     first, second = (leaf_feed.LeafFeed(node, store_health) for _ in range(2))
-    first.handle_report(WORD)
-    second.handle_report(WORD)
+    first.handle_report(REPORT)
+    second.handle_report(REPORT)
     first.close()
     assert node.work.at('i-1').running == 3
     assert LEAF in node.roster.leaves
