--- a/gentianstair/gateway/autoscaler.py
+++ b/gentianstair/gateway/autoscaler.py
@@ -1,4 +1,4 @@
-"""Keep the fleet as wanted, as the holder of the duties' lease."""
+"""Order replicas for services that scale, while holding a lease."""
 
 import loguru
 import msgspec
@@ -16,15 +16,17 @@
 
 BASELINE_KIND = 'fleet-baseline'
 PURPOSE = 'fleet'
+# Pause between two checks of all services.
 CHECK_INTERVAL_S = 0.5
-# With an older view of the replicas nothing is ordered.
+# Nothing is ordered if the store last answered longer ago than this.
 MAX_VIEW_AGE_S = 2.0
-# After this many heartbeats from the start all replicas have registered.
+# Number of heartbeat intervals after this process started by which all
+# replicas have registered.
 STARTUP_HEARTBEATS = 3.0
 
 
 class Autoscaler:
-    """Orders replicas of the services that the operator lets it scale."""
+    """Orders replicas of the services that the operator allows to scale."""
 
     def __init__(
         self,
@@ -39,7 +41,7 @@
         self._baselines: dict[str, int] = {}
 
     async def run(self, authority: lease.Authority) -> None:
-        """Order what is wanted, while authority stands."""
+        """Order missing replicas for as long as authority is valid."""
         while True:
             authority.check()
             try:
@@ -51,10 +53,10 @@
             await trio.sleep(CHECK_INTERVAL_S)
 
     async def _scale_all(self, authority: lease.Authority) -> None:
-        found = self._node.force.catalog
-        if found is None or self._store_health.age_s > MAX_VIEW_AGE_S:
+        current = self._node.force.catalog
+        if current is None or self._store_health.age_s > MAX_VIEW_AGE_S:
             return
-        for service in found.services.values():
+        for service in current.services.values():
             if service.scaling is not None:
                 await self._scale(authority, service, service.scaling)
 
@@ -65,13 +67,13 @@
         scaling: catalog.Scaling,
     ) -> None:
         now_s = self._node.clock()
-        there = self._node.registry.usable(service.name)
-        baseline = await self._baseline(service.name, len(there))
+        usable = self._node.registry.usable(service.name)
+        baseline = await self._baseline(service.name, len(usable))
         if not baseline:
             return
-        warm = self._planner.warm(there, now_s)
-        wanted = capacity.decide(scaling, baseline, there, warm)
-        due = self._planner.due(service.name, scaling, wanted, there, now_s)
+        warm = self._planner.warm(usable, now_s)
+        wanted = capacity.decide(scaling, baseline, usable, warm)
+        due = self._planner.due(service.name, scaling, wanted, usable, now_s)
         for order in due:
             try:
                 await self._cloud.order_replicas(
@@ -88,34 +90,34 @@
             self._planner.ordered(order, scaling, now_s)
             _log_order(events.REPLICAS_ORDERED, order, 'accepted')
 
-    async def _baseline(self, service: str, there: int) -> int:
-        """Return how many replicas the operator started with.
+    async def _baseline(self, service: str, replica_count: int) -> int:
+        """Return how many replicas the operator started, 0 if not known yet.
 
-        The first holder writes it down, so that a later one does not take
-        what its predecessor ordered for what the operator wants.
+        The first holder of the lease stores the number, so that a later one
+        does not count ordered replicas into it.
         """
         if service in self._baselines:
             return self._baselines[service]
         store = self._node.store
         item = await store.get(BASELINE_KIND, service, purpose=PURPOSE)
         if item.value is None:
-            # Replicas register within a heartbeat of the start.
+            # Replicas register within a heartbeat interval of their start.
             if self._node.clock() - self._node.started_s < (
                 STARTUP_HEARTBEATS * self._node.deployment.replica_heartbeat_s
             ):
                 return 0
-            value = {'count': there, 'nonce': settled.new_nonce()}
+            value = {'count': replica_count, 'nonce': settled.new_nonce()}
             await settled.put(
                 store, BASELINE_KIND, service, value, 0, purpose=PURPOSE
             )
-            self._baselines[service] = there
-            return there
+            self._baselines[service] = replica_count
+            return replica_count
         try:
-            found = msgspec.convert(item.value['count'], int)
+            count = msgspec.convert(item.value['count'], int)
         except (KeyError, TypeError, msgspec.ValidationError) as error:
-            raise errors.StoreUnavailableError(f'baseline: {error}')
-        self._baselines[service] = found
-        return found
+            raise errors.StoreUnavailableError(f'bad baseline: {error}')
+        self._baselines[service] = count
+        return count
 
 
 def _log_order(event: str, order: capacity.Order, outcome: str) -> None:
--- a/gentianstair/gateway/cache_updates.py
+++ b/gentianstair/gateway/cache_updates.py
@@ -1,7 +1,7 @@
-"""Pass on between VMs what they hear of the replicas' caches.
+"""Forward changes of the replicas' KV caches between VMs.
 
-In a large fleet each replica is asked by a few VMs only; the others learn
-from them which parts of prompts it keeps.
+In a large fleet only a few VMs poll each replica; the others learn from
+them which parts of prompts it has cached.
 """
 
 import collections.abc
@@ -13,20 +13,20 @@
 from gentianstair.gateway import change_log
 from gentianstair.gateway import prefix_cache
 
-# Parts shorter than this are read sooner than they are told of.
+# Shorter parts are not forwarded: prefilling them takes less time.
 MIN_SHARED_TOKENS = 500
-# Parts of all replicas that are told to a VM that knows none.
+# Number of parts, of all replicas, that each log holds for new readers.
 MAX_LOGGED_PARTS = 20000
 
 
 class Change(typing.NamedTuple):
-    """What a replica keeps of a part, as it said last."""
+    """The newest state of one part of a prompt in a replica's cache."""
 
     replica: str
     part: str
-    # The replica's own count of its changes; a later one goes before.
+    # The replica's count of its changes; a higher one is newer.
     sequence: int
-    # 0 when the part is gone.
+    # Cached tokens of the part, 0 when it was evicted.
     tokens: int
 
 
@@ -34,21 +34,24 @@
 
 
 class CacheUpdates:
-    """Changes of the replicas' caches, and who is still to be told."""
+    """Applies changes of the replicas' caches, and logs them for peers."""
 
     def __init__(self, cache: prefix_cache.PrefixCache) -> None:
         self._cache = cache
+        # The newest sequence seen, by replica and part.
         self._sequences: dict[str, dict[str, int]] = {}
-        # Heard from replicas by this VM and its leaves, for the other hubs.
+        # Changes polled by this VM and its leaves, for the other hubs; on a
+        # leaf, for its hub.
         self.hub_log: _Log = change_log.ChangeLog(MAX_LOGGED_PARTS)
-        # All that is known, for the leaves.
+        # All changes, for the leaves.
         self.leaf_log: _Log = change_log.ChangeLog(MAX_LOGGED_PARTS)
 
     def apply(self, change: Change, to_hubs: bool) -> None:
-        """Take a change; to_hubs says that other hubs learn it here.
+        """Apply a change unless a newer one is known; log it for peers.
 
-        Two VMs follow each replica, and the slower one tells late: a part
-        that is gone by then must not seem to be back.
+        Two VMs poll each replica, so changes may come late and out of
+        order: an evicted part must not seem to be back. With to_hubs the
+        change is logged for the other hubs, too.
         """
         sequences = self._sequences.setdefault(change.replica, {})
         if sequences.get(change.part, -1) >= change.sequence:
@@ -65,16 +68,16 @@
     def apply_rows(
         self, rows: collections.abc.Iterable[list], to_hubs: bool
     ) -> None:
-        """Take changes as a peer tells them; raise DecodeError."""
+        """Apply changes from a peer's message; raise DecodeError."""
         try:
-            found = msgspec.convert(list(rows), list[Change])
+            changes = msgspec.convert(list(rows), list[Change])
         except msgspec.ValidationError as error:
-            raise errors.DecodeError(f'cache changes: {error}') from error
-        for change in found:
+            raise errors.DecodeError(f'bad cache changes: {error}') from error
+        for change in changes:
             self.apply(change, to_hubs)
 
     def forget(self, replica: str) -> None:
-        """Forget a replica that left, or started again with nothing."""
+        """Forget a replica that left or restarted with an empty cache."""
         self._cache.forget(replica)
         for part in self._sequences.pop(replica, ()):
             self.hub_log.drop((replica, part))
--- a/gentianstair/gateway/cache_watch.py
+++ b/gentianstair/gateway/cache_watch.py
@@ -1,4 +1,4 @@
-"""Hear from each model replica which parts of prompts it keeps."""
+"""Poll model replicas for changes of their KV caches."""
 
 import typing
 
@@ -14,51 +14,52 @@
 from gentianstair.generated import events
 from gentianstair.platform import wire
 
-# A call waits at the replica until something changes; shorter waits are
-# counted as probes by the users.
-WAIT_S = 1.0
-GRACE_S = 0.8
-RETRY_S = 0.5
-# Pause between calls, so that a busy replica's changes come in one answer.
-GATHER_S = 0.2
-# The same in a large fleet, where what is heard takes as long again to reach
-# all VMs, and calls for all its replicas are a large part of its work.
-LARGE_GATHER_S = 0.6
-LOOK_S = 0.5
-
-
-class _Start(typing.NamedTuple):
-    """One start of a replica."""
+# Long-poll timeout at the replica. The platform counts shorter ones as
+# probes.
+POLL_TIMEOUT_S = 1.0
+# Added to it, the longest wait for an answer.
+ANSWER_GRACE_S = 0.8
+# Pause after a failed call.
+RETRY_PAUSE_S = 0.5
+# Pause between calls, so that one answer returns several changes.
+BATCH_PAUSE_S = 0.2
+# The same in a large fleet, where VMs forward changes to each other: the
+# calls for all of a VM's replicas are a large part of its work.
+SHARED_BATCH_PAUSE_S = 0.6
+# How often the set of followed replicas is checked.
+ASSIGNMENT_CHECK_S = 0.5
+
+
+class _ReplicaStart(typing.NamedTuple):
+    """One start of a replica; its cache is empty at first."""
 
     name: str
     born_ms: int
 
 
 async def run(node: nodes.Node) -> None:
-    """Follow the caches that this VM is to follow, until cancelled."""
+    """Follow the caches assigned to this VM until cancelled."""
     await node.registry.known.wait()
-    following: dict[_Start, trio.CancelScope] = {}
+    scopes: dict[_ReplicaStart, trio.CancelScope] = {}
     async with trio.open_nursery() as nursery:
-        known: set[_Start] = set()
+        known: set[_ReplicaStart] = set()
         while True:
-            there = {
-                _Start(replica.name, replica.born_ms): replica
+            starts = {
+                _ReplicaStart(replica.name, replica.born_ms): replica
                 for replica in node.registry.all()
                 if replica.stage
             }
-            for start in known - set(there):
+            for start in known - set(starts):
                 node.cache_news.forget(start.name)
-            known = set(there)
-            mine = node.roster.followed_replicas()
-            wanted = {start for start in there if start.name in mine}
-            for start in set(following) - wanted:
-                following.pop(start).cancel()
-            for start in wanted - set(following):
-                following[start] = trio.CancelScope()
-                nursery.start_soon(
-                    _follow, node, there[start], following[start]
-                )
-            await trio.sleep(LOOK_S)
+            known = set(starts)
+            followed = node.roster.followed_replicas()
+            wanted = {start for start in starts if start.name in followed}
+            for start in set(scopes) - wanted:
+                scopes.pop(start).cancel()
+            for start in wanted - set(scopes):
+                scopes[start] = trio.CancelScope()
+                nursery.start_soon(_follow, node, starts[start], scopes[start])
+            await trio.sleep(ASSIGNMENT_CHECK_S)
 
 
 async def _follow(
@@ -70,63 +71,65 @@
         while True:
             try:
                 request = wire.cache_events_request(
-                    replica.address, since, WAIT_S, forward.CONNECT_S
+                    replica.address, since, POLL_TIMEOUT_S, forward.CONNECT_S
                 )
-                changes = wire.decode_cache_events(await _ask(node, request))
+                changes = wire.decode_cache_events(await _call(node, request))
                 if epoch is not None and changes.epoch != epoch:
                     node.cache_news.forget(replica.name)
                 epoch, since = changes.epoch, changes.next
-                _take(
+                _apply(
                     node, replica, changes, node.roster.shares_cache_updates()
                 )
                 if changes.lost:
-                    since = await _close_gap(node, replica, since)
+                    since = await _resync(node, replica, since)
             except (errors.UpstreamError, errors.DecodeError) as error:
                 loguru.logger.bind(
                     event=events.CACHE_WATCH_FAILED, replica=replica.name
                 ).debug('{}', error)
-                await trio.sleep(RETRY_S)
+                await trio.sleep(RETRY_PAUSE_S)
                 continue
-            large = node.roster.shares_cache_updates()
-            await trio.sleep(LARGE_GATHER_S if large else GATHER_S)
+            is_shared = node.roster.shares_cache_updates()
+            await trio.sleep(
+                SHARED_BATCH_PAUSE_S if is_shared else BATCH_PAUSE_S
+            )
 
 
-def _take(
+def _apply(
     node: nodes.Node,
     replica: replicas.Replica,
     changes: wire.CacheChanges,
     to_hubs: bool,
 ) -> None:
-    for part, number, tokens in changes.changes:
+    for part, sequence, tokens in changes.changes:
         node.cache_news.apply(
-            cache_updates.Change(replica.name, part, number, tokens), to_hubs
+            cache_updates.Change(replica.name, part, sequence, tokens), to_hubs
         )
 
 
-async def _close_gap(
+async def _resync(
     node: nodes.Node, replica: replicas.Replica, since: int
 ) -> int:
-    """Read all that a replica keeps, and return from where to go on.
+    """List a replica's cache if needed; return where polling resumes.
 
-    After a restart of all VMs nobody would know it, and each shared part
-    would be read again elsewhere. The list costs the replica time, so a few
-    VMs read it and tell the others.
+    After a restart of all VMs no other source names the cached parts, and
+    they would be prefilled again on other replicas. The list is costly for
+    the replica, so only a few VMs read it and forward it.
     """
-    reads = node.roster.reads_cache_list(replica.name)
+    lists_cache = node.roster.reads_cache_list(replica.name)
     loguru.logger.bind(
-        event=events.CACHE_GAP, replica=replica.name, listed=reads
-    ).info('changes of a replica cache are missing')
-    if not reads:
+        event=events.CACHE_GAP, replica=replica.name, listed=lists_cache
+    ).info('missed changes of a replica cache')
+    if not lists_cache:
         return since
     request = wire.cache_list_request(replica.address, forward.CONNECT_S)
-    listing = wire.decode_cache_list(await _ask(node, request))
-    _take(node, replica, listing, to_hubs=True)
+    listing = wire.decode_cache_list(await _call(node, request))
+    _apply(node, replica, listing, to_hubs=True)
     return listing.next
 
 
-async def _ask(node: nodes.Node, request: httpx.Request) -> bytes:
-    """Return the body of a replica's answer; raise if there is none."""
-    with trio.move_on_after(WAIT_S + GRACE_S):
+async def _call(node: nodes.Node, request: httpx.Request) -> bytes:
+    """Return the body of a replica's answer; raise DecodeError if none."""
+    with trio.move_on_after(POLL_TIMEOUT_S + ANSWER_GRACE_S):
         response = await node.transport.handle_async_request(request)
         try:
             body = await forward.read_body(response)
--- a/gentianstair/gateway/change_log.py
+++ b/gentianstair/gateway/change_log.py
@@ -1,4 +1,4 @@
-"""Keep the newest value of each key, and tell what changed since when."""
+"""Log the newest value of each key in the order of the changes."""
 
 import collections
 import typing
@@ -10,9 +10,9 @@
 class ChangeLog(typing.Generic[Key, Value]):
     """The newest change of each key, in the order in which they came.
 
-    A reader keeps its position and asks for what came after it. When there
-    are more than most keys, those that changed longest ago are dropped: a
-    reader that is far behind misses them.
+    Each reader keeps its own position and reads the changes after it. Of
+    more than max_keys keys, those that changed longest ago are dropped, so
+    a reader that is far behind misses them.
 
     >>> log = ChangeLog(max_keys=2)
     >>> log.put('a', 1)
@@ -25,16 +25,18 @@
 
     def __init__(self, max_keys: int) -> None:
         self._max_keys = max_keys
+        # The position and the value of the last change, oldest first.
         self._latest: collections.OrderedDict[Key, tuple[int, Value]] = (
             collections.OrderedDict()
         )
+        # The position of the last change.
         self.position = 0
 
     def __contains__(self, key: Key) -> bool:
         return key in self._latest
 
     def put(self, key: Key, value: Value) -> None:
-        """Take a change."""
+        """Append a change."""
         self.position += 1
         self._latest.pop(key, None)
         self._latest[key] = (self.position, value)
@@ -42,16 +44,16 @@
             self._latest.popitem(last=False)
 
     def drop(self, key: Key) -> None:
-        """Forget a key; no reader is told."""
+        """Remove a key without a change that readers see."""
         self._latest.pop(key, None)
 
     def since(self, position: int) -> list[tuple[Key, Value]]:
         """Return the changes after a position, the oldest first."""
-        found = []
+        changes = []
         for key in reversed(self._latest):
-            at, value = self._latest[key]
-            if at <= position:
+            changed_position, value = self._latest[key]
+            if changed_position <= position:
                 break
-            found.append((key, value))
-        found.reverse()
-        return found
+            changes.append((key, value))
+        changes.reverse()
+        return changes
--- a/gentianstair/gateway/members.py
+++ b/gentianstair/gateway/members.py
@@ -1,8 +1,8 @@
-"""Show this process to the others in the store, and see them there.
+"""Publish this process in the store, and list the fleet's processes.
 
-Each process writes one object: that it lives, where its peers find it, and
-its usage counts. It stays for a while after the process is gone, so that
-what the process counted is still reported.
+Each process writes one object as its heartbeat, with its peer address and
+its usage counts. The object outlives the process for a while, so that its
+last counts are still reported.
 """
 
 import math
@@ -21,40 +21,42 @@
 
 KIND = 'gateway-process'
 PURPOSE = 'members'
-# How often a process writes its object: what it counted since is lost when
-# it is killed.
+# Shortest interval between heartbeats. Usage counted after the last one is
+# lost if the process is killed.
 HEARTBEAT_S = 1.0
-# Beats of the whole fleet a second. Each call to the store is priced, and in
-# a large fleet each VM counts a small part of the usage.
+# Heartbeats of the whole fleet a second. Each call to the store is charged;
+# in a large fleet each VM counts a small part of the usage.
 MAX_HEARTBEATS_PER_S = 15.0
-# Share of the store's write rate that all beats together may take.
+# Share of the store's write rate that all heartbeats together may use.
 MAX_HEARTBEAT_WRITE_SHARE = 0.25
+# Shortest pause between rounds of heartbeat and listing.
 MIN_PAUSE_S = 0.1
-# The longest pause between two looks at the others' objects.
+# Longest pause between two listings of the processes.
 MAX_LIST_PAUSE_S = 2.0
-# Beats missed after which a process counts as gone.
+# Number of missed heartbeats after which a process counts as gone.
 MISSED_HEARTBEATS = 3.0
-# A process that was never seen again is forgotten after this long; its
-# counts are reported by then.
+# How long the object of a process that is gone is kept; its counts are
+# reported by then.
 RECORD_RETENTION_S = 60.0
-# Assumed while nobody is known: too many rather than too few, as each takes
-# an even part of what all may do.
+# Number of processes assumed before the first listing. Limits are divided
+# by it, so it is rather too high.
 ASSUMED_MEMBERS = 16
 
 
 class Record(msgspec.Struct):
-    """What a process writes of itself."""
+    """The stored object of a process."""
 
     vm: str
     failure_domain: str
     # HOST:PORT of its links to peers.
     peer_address: str
+    # Number of heartbeats written so far.
     beat: int
-    # Requests that began to run, by window and customer.
+    # Number of requests started, by usage window and customer.
     windows: dict[str, dict[str, int]]
-    # The VM's share of a core times the core's speed.
+    # CPU cores that the VM may use, weighted by their speed.
     cores: float = 0.0
-    # What it learned of the cost of reads.
+    # Its estimates of prefill costs, for processes that start later.
     costs: list[read_costs.Learned] = []
 
 
@@ -63,17 +65,18 @@
 
     name: str
     record: Record
+    # Version of its object, and when this process first saw that version.
     version: int
     changed_at_s: float
 
 
 def usage_windows(record: Record) -> usage.Windows:
-    """Return the usage counts in a record."""
-    return {int(window): found for window, found in record.windows.items()}
+    """Return the usage counts in a record, by window."""
+    return {int(window): counts for window, counts in record.windows.items()}
 
 
 def decode(value: typing.Any) -> Record | None:
-    """Return the record in an object, or None if it can't be read."""
+    """Return the record in an object, or None if it is invalid."""
     try:
         return msgspec.convert(value, Record)
     except (msgspec.ValidationError, TypeError) as error:
@@ -82,7 +85,7 @@
 
 
 class Members:
-    """The processes that are there, and this one's own object."""
+    """The fleet's processes as listed in the store, and this one's object."""
 
     def __init__(
         self,
@@ -103,7 +106,7 @@
         self._costs = costs or read_costs.ReadCosts()
         self._version = 0
         self._members: dict[str, Member] = {}
-        # When the store last said who is there.
+        # When the store last returned a listing.
         self._listed_at_s = clock()
 
     @property
@@ -113,20 +116,20 @@
 
     @property
     def heartbeat_s(self) -> float:
-        """Return the pause between beats, longer in a large fleet."""
-        found = len(self._members)
-        most_per_s = min(
+        """Return the heartbeat interval, which grows with the fleet."""
+        count = len(self._members)
+        max_per_s = min(
             MAX_HEARTBEATS_PER_S,
             MAX_HEARTBEAT_WRITE_SHARE * self._writes_per_s,
         )
-        return max(HEARTBEAT_S, found / most_per_s)
+        return max(HEARTBEAT_S, count / max_per_s)
 
     def alive(self) -> list[Member]:
-        """Return the processes seen lately, this one among them.
+        """Return the processes that were alive at the last listing.
 
-        That is by the last look that the store answered. A VM that it turns
-        away sees nobody beat; if it then believed to be alone it would take
-        all that the fleet may repeat, as would each VM in its place.
+        Ages count from that listing and not from now: a VM that the store
+        refuses sees no heartbeats. It would otherwise take itself for the
+        only process and use the fleet's whole retry budget.
         """
         oldest_s = self._listed_at_s - MISSED_HEARTBEATS * self.heartbeat_s
         return [
@@ -134,7 +137,7 @@
         ]
 
     def count(self) -> int:
-        """Return how many there are, if that is known."""
+        """Return the number of live processes, assumed before any listing."""
         if not self._members:
             return ASSUMED_MEMBERS
         return max(1, len(self.alive()))
@@ -144,27 +147,28 @@
         min_age_s: float,
         vms: typing.Collection[str] | None = None,
     ) -> tuple[str, ...]:
-        """Return who may take a lease at once: those that lived for min_age_s.
+        """Return the names of processes that may take a lease at once.
 
-        One that has just started has not watched the lease for long enough
-        to know that it lapsed. The others would wait for it in vain. When
-        all have just started, all are returned. Where vms are named, only
-        processes on these are.
+        These have run for min_age_s; a younger one has not watched the
+        lease for long enough to know that it lapsed, and the others would
+        wait for it in vain. If all are younger, all are returned. With vms,
+        only processes on these VMs are.
         """
         alive = [m for m in self.alive() if vms is None or m.record.vm in vms]
-        known = [
+        mature = [
             m for m in alive if m.record.beat * self.heartbeat_s >= min_age_s
         ]
-        names = sorted(member.name for member in known or alive)
+        names = sorted(member.name for member in mature or alive)
         return tuple(names) or (self._name,)
 
     async def run(
         self, has_hub_feed: typing.Callable[[], bool] = lambda: False
     ) -> None:
-        """Beat, and look at the others unless told of them, until cancelled.
+        """Write heartbeats and list the processes, until cancelled.
 
-        The first beat goes before the first look, so that processes which
-        start together see each other.
+        A process that has a hub's feed does not list them. The first
+        heartbeat precedes the first listing, so that processes which start
+        together see each other.
         """
         last_heartbeat_s = -math.inf
         while True:
@@ -173,17 +177,17 @@
                 last_heartbeat_s = started_s
                 await self.write_heartbeat()
             if not has_hub_feed():
-                await self._list_others()
-            spent_s = self._clock() - started_s
-            pause_s = min(self.heartbeat_s, MAX_LIST_PAUSE_S) - spent_s
+                await self._refresh()
+            elapsed_s = self._clock() - started_s
+            pause_s = min(self.heartbeat_s, MAX_LIST_PAUSE_S) - elapsed_s
             await trio.sleep(max(MIN_PAUSE_S, pause_s))
 
     async def write_heartbeat(self) -> bool:
-        """Write this process's object; say whether it is there now."""
+        """Write this process's object; return whether that succeeded."""
         self._record.beat += 1
         self._record.windows = {
-            str(window): found
-            for window, found in self._counts.windows().items()
+            str(window): counts
+            for window, counts in self._counts.windows().items()
         }
         self._record.costs = self._costs.told()
         try:
@@ -196,8 +200,8 @@
             )
             return True
         except errors.StoreConflictError as error:
-            # A write whose answer was lost took effect after all. Only this
-            # process writes under its name.
+            # An earlier write took effect although its answer was lost, as
+            # no other process writes this object.
             self._version = error.current_version
         except errors.StoreUnknownError:
             await self._read_back()
@@ -214,45 +218,47 @@
         self._version = item.version
 
     async def records(self) -> list[Record]:
-        """Return all records as the store has them; raise StoreError."""
+        """Return all records in the store; raise StoreError."""
         return [member.record for member in await self._list()]
 
     async def _list(self) -> list[Member]:
         listing = await self._store.list(KIND, purpose=PURPOSE)
         now_s = self._clock()
-        found = []
+        members = []
         for item in listing.objects:
             record = decode(item.value)
             if record is None:
                 continue
-            known = self._members.get(item.name)
+            previous = self._members.get(item.name)
             changed_at_s = now_s
-            if known is not None and known.version == item.version:
-                changed_at_s = known.changed_at_s
-            found.append(Member(item.name, record, item.version, changed_at_s))
-        return found
+            if previous is not None and previous.version == item.version:
+                changed_at_s = previous.changed_at_s
+            members.append(
+                Member(item.name, record, item.version, changed_at_s)
+            )
+        return members
 
-    async def _list_others(self) -> None:
+    async def _refresh(self) -> None:
         try:
-            found = await self._list()
+            members = await self._list()
         except errors.StoreError as error:
             loguru.logger.bind(event=events.LOOK_FAILED).debug('{}', error)
             return
-        gone = set(self._members) - {member.name for member in found}
-        new = {member.name for member in found} - set(self._members)
+        gone = set(self._members) - {member.name for member in members}
+        new = {member.name for member in members} - set(self._members)
         if gone or new:
             loguru.logger.bind(
                 event=events.MEMBERS, new=sorted(new), gone=sorted(gone)
-            ).info('{} processes are known', len(found))
+            ).info('{} processes are listed', len(members))
         if not self._members:
-            # A process that starts anew goes on with what others learned.
-            others = [m for m in found if m.name != self._name]
+            # A process that has just started adopts the others' estimates.
+            others = [m for m in members if m.name != self._name]
             self._costs.take(c for m in others for c in m.record.costs)
-        self._members = {member.name: member for member in found}
+        self._members = {member.name: member for member in members}
         self._listed_at_s = self._clock()
 
     async def delete_expired(self) -> None:
-        """Delete objects of processes gone for long; raise StoreError."""
+        """Delete expired objects of processes; raise StoreError."""
         oldest_s = self._clock() - RECORD_RETENTION_S
         for member in list(self._members.values()):
             if member.changed_at_s < oldest_s:
--- a/test/gateway/test_cache_updates.py
+++ b/test/gateway/test_cache_updates.py
@@ -1,4 +1,4 @@
-"""Test what VMs tell each other of the replicas' caches."""
+"""Test how VMs forward changes of the replicas' caches."""
 
 import pytest
 
@@ -28,12 +28,14 @@
         ([], 9100),
         ([change(1, 9000)], 100),
         ([change(1, 9000), change(2, 0)], 9100),
-        # The slower of two followers tells of what is gone by now.
+        # The slower of two followers reports a part that was evicted.
         ([change(1, 9000), change(2, 0), change(1, 9000)], 9100),
+        # The eviction of a part that was not logged is not remembered.
         ([change(2, 0), change(1, 9000)], 100),
     ],
+    ids=['none', 'cached', 'evicted', 'late repeat', 'unlogged eviction'],
 )
-def test_what_is_believed(updates, changes, unread_tokens):
+def test_late_change_does_not_undo_newer(updates, changes, unread_tokens):
     cache = prefix_cache.PrefixCache()
     updates = cache_updates.CacheUpdates(cache)
     for found in changes:
@@ -41,20 +43,20 @@
     assert cache.unread_tokens('i-1', PROMPT) == unread_tokens
 
 
-def test_short_parts_are_not_told(updates):
+def test_short_parts_are_not_forwarded(updates):
     updates.apply(change(1, 40, 'tiny'), to_hubs=True)
     updates.apply(change(2, 9000), to_hubs=True)
-    told = [found.part for _, found in updates.hub_log.since(0)]
-    assert told == ['c0de']
+    forwarded = [found.part for _, found in updates.hub_log.since(0)]
+    assert forwarded == ['c0de']
 
 
-def test_what_hubs_told_is_told_to_leaves_only(updates):
+def test_changes_from_hubs_go_to_leaves_only(updates):
     updates.apply(change(1, 9000), to_hubs=False)
     assert updates.hub_log.since(0) == []
     assert [found.sequence for _, found in updates.leaf_log.since(0)] == [1]
 
 
-def test_a_replica_that_started_again_begins_anew(updates):
+def test_restarted_replica_may_reuse_sequence_numbers(updates):
     updates.apply(change(7, 9000), to_hubs=True)
     updates.forget('i-1')
     assert updates.leaf_log.since(0) == []
@@ -63,21 +65,27 @@
 
 
 @pytest.mark.parametrize(
-    'row', [[], ['i-1'], ['i-1', 'c0de', 'first', 9000], ['i-1', 'c', 1, None]]
+    'row',
+    [[], ['i-1'], ['i-1', 'c0de', 'first', 9000], ['i-1', 'c', 1, None]],
+    ids=['empty', 'too short', 'sequence no number', 'tokens missing'],
 )
-def test_rows_that_make_no_sense_are_refused(updates, row):
-    """A peer of another version, or with a fault, tells something else."""
+def test_malformed_rows_raise_decode_error(updates, row):
+    """A peer of another version may send other rows."""
     with pytest.raises(errors.DecodeError):
         updates.apply_rows([row], to_hubs=True)
 
 
-@pytest.mark.parametrize('row', [[], ['vm'], ['vm', 'a', 'b', 'c']])
-def test_a_hub_that_makes_no_sense_is_refused(row):
+@pytest.mark.parametrize(
+    'row',
+    [[], ['vm'], ['vm', 'a', 'b', 'c']],
+    ids=['empty', 'too short', 'too long'],
+)
+def test_malformed_hub_row_raises_decode_error(row):
     with pytest.raises(errors.DecodeError):
         leaf_feed.decode_hub(row)
 
 
-def test_a_reader_far_behind_gets_the_newest():
+def test_log_keeps_only_the_newest_keys():
     log = change_log.ChangeLog(max_keys=3)
     for number in range(10):
         log.put(number, number)
