--- a/gentianstair/gateway/autoscaler.py
+++ b/gentianstair/gateway/autoscaler.py
@@ -1,4 +1,4 @@
-"""Keep the fleet as wanted, as the holder of the duties' lease."""
+"""Order replicas for services that scale, while holding a lease."""
 
 import loguru
 import msgspec
@@ -14,65 +14,67 @@
 from gentianstair.platform import cloud as clouds
 from gentianstair.store import settled
 
-PLAN_KIND = 'fleet-baseline'
+BASELINE_KIND = 'fleet-baseline'
 PURPOSE = 'fleet'
-LOOK_S = 0.5
-# With an older view of the replicas nothing is ordered.
-FRESH_S = 2.0
-# After this many heartbeats from the start all replicas have registered.
-REGISTERED_HEARTBEATS = 3.0
+# Pause between two checks of all services.
+CHECK_INTERVAL_S = 0.5
+# Nothing is ordered if the store last answered longer ago than this.
+MAX_VIEW_AGE_S = 2.0
+# Number of heartbeat intervals after this process started by which all
+# replicas have registered.
+STARTUP_HEARTBEATS = 3.0
 
 
 class Autoscaler:
-    """Orders replicas of the services that the operator lets it scale."""
+    """Orders replicas of the services that the operator allows to scale."""
 
     def __init__(
         self,
         node: nodes.Node,
         cloud: clouds.Cloud,
-        touch: store_watch.StoreHealth,
+        store_health: store_watch.StoreHealth,
     ) -> None:
         self._node = node
         self._cloud = cloud
-        self._touch = touch
+        self._store_health = store_health
         self._planner = autoscaling.OrderPlanner()
         self._baselines: dict[str, int] = {}
 
     async def run(self, authority: lease.Authority) -> None:
-        """Order what is wanted, while authority stands."""
+        """Order missing replicas for as long as authority is valid."""
         while True:
             authority.check()
             try:
-                await self._look(authority)
+                await self._scale_all(authority)
             except (errors.StoreError, errors.UpstreamError) as error:
                 loguru.logger.bind(event=events.FLEET_FAILED).warning(
                     '{}', error
                 )
-            await trio.sleep(LOOK_S)
+            await trio.sleep(CHECK_INTERVAL_S)
 
-    async def _look(self, authority: lease.Authority) -> None:
-        found = self._node.force.catalog
-        if found is None or self._touch.age_s > FRESH_S:
+    async def _scale_all(self, authority: lease.Authority) -> None:
+        current = self._node.force.catalog
+        if current is None or self._store_health.age_s > MAX_VIEW_AGE_S:
             return
-        for service in found.services.values():
+        for service in current.services.values():
             if service.scaling is not None:
-                await self._keep(authority, service, service.scaling)
+                await self._scale(authority, service, service.scaling)
 
-    async def _keep(
+    async def _scale(
         self,
         authority: lease.Authority,
         service: catalog.Service,
         scaling: catalog.Scaling,
     ) -> None:
         now_s = self._node.clock()
-        there = self._node.registry.usable(service.name)
-        baseline = await self._baseline(service.name, len(there))
+        usable = self._node.registry.usable(service.name)
+        baseline = await self._baseline(service.name, len(usable))
         if not baseline:
             return
-        warm = self._planner.warm_names(there, now_s)
-        wanted = autoscaling.desired_counts(scaling, baseline, there, warm)
+        warm = self._planner.warm_names(usable, now_s)
+        wanted = autoscaling.desired_counts(scaling, baseline, usable, warm)
         due = self._planner.due_orders(
-            service.name, scaling, wanted, there, now_s
+            service.name, scaling, wanted, usable, now_s
         )
         for order in due:
             try:
@@ -85,43 +87,42 @@
                 )
             except errors.TurnedAwayError as error:
                 self._planner.record_unavailable(order, now_s)
-                _tell(events.NONE_TO_BE_HAD, order, str(error))
+                _log_order(events.NONE_TO_BE_HAD, order, str(error))
                 continue
             self._planner.record_accepted(order, scaling, now_s)
-            _tell(events.REPLICAS_ORDERED, order, 'accepted')
+            _log_order(events.REPLICAS_ORDERED, order, 'accepted')
 
-    async def _baseline(self, service: str, there: int) -> int:
-        """Return how many replicas the operator started with.
+    async def _baseline(self, service: str, replica_count: int) -> int:
+        """Return how many replicas the operator started, 0 if not known yet.
 
-        The first holder writes it down, so that a later one does not take
-        what its predecessor ordered for what the operator wants.
+        The first holder of the lease stores the number, so that a later one
+        does not count ordered replicas into it.
         """
         if service in self._baselines:
             return self._baselines[service]
         store = self._node.store
-        item = await store.get(PLAN_KIND, service, purpose=PURPOSE)
+        item = await store.get(BASELINE_KIND, service, purpose=PURPOSE)
         if item.value is None:
-            # Replicas register within a heartbeat of the start.
+            # Replicas register within a heartbeat interval of their start.
             if self._node.clock() - self._node.started_s < (
-                REGISTERED_HEARTBEATS
-                * self._node.deployment.replica_heartbeat_s
+                STARTUP_HEARTBEATS * self._node.deployment.replica_heartbeat_s
             ):
                 return 0
-            value = {'count': there, 'nonce': settled.new_nonce()}
+            value = {'count': replica_count, 'nonce': settled.new_nonce()}
             await settled.put(
-                store, PLAN_KIND, service, value, 0, purpose=PURPOSE
+                store, BASELINE_KIND, service, value, 0, purpose=PURPOSE
             )
-            self._baselines[service] = there
-            return there
+            self._baselines[service] = replica_count
+            return replica_count
         try:
-            found = msgspec.convert(item.value['count'], int)
+            count = msgspec.convert(item.value['count'], int)
         except (KeyError, TypeError, msgspec.ValidationError) as error:
-            raise errors.StoreUnavailableError(f'baseline: {error}')
-        self._baselines[service] = found
-        return found
+            raise errors.StoreUnavailableError(f'bad baseline: {error}')
+        self._baselines[service] = count
+        return count
 
 
-def _tell(event: str, order: autoscaling.Order, outcome: str) -> None:
+def _log_order(event: str, order: autoscaling.Order, outcome: str) -> None:
     loguru.logger.bind(event=event, **order._asdict()).info(
         'ordered {} replicas: {}', order.count, outcome
     )
--- a/gentianstair/gateway/change_log.py
+++ b/gentianstair/gateway/change_log.py
@@ -1,4 +1,4 @@
-"""Keep the newest value of each key, and tell what changed since when."""
+"""Log the newest value of each key in the order of the changes."""
 
 import collections
 import typing
@@ -10,11 +10,11 @@
 class ChangeLog(typing.Generic[Key, Value]):
     """The newest change of each key, in the order in which they came.
 
-    A reader keeps its position and asks for what came after it. When there
-    are more than most keys, those that changed longest ago are dropped: a
-    reader that is far behind misses them.
+    Each reader keeps its own position and reads the changes after it. Of
+    more than max_keys keys, those that changed longest ago are dropped, so
+    a reader that is far behind misses them.
 
-    >>> log = ChangeLog(most=2)
+    >>> log = ChangeLog(max_keys=2)
     >>> log.put('a', 1)
     >>> position = log.position
     >>> log.put('b', 2)
@@ -23,35 +23,37 @@
     [('b', 3)]
     """
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, max_keys: int) -> None:
+        self._max_keys = max_keys
+        # The position and the value of the last change, oldest first.
         self._latest: collections.OrderedDict[Key, tuple[int, Value]] = (
             collections.OrderedDict()
         )
+        # The position of the last change.
         self.position = 0
 
     def __contains__(self, key: Key) -> bool:
         return key in self._latest
 
     def put(self, key: Key, value: Value) -> None:
-        """Take a change."""
+        """Append a change."""
         self.position += 1
         self._latest.pop(key, None)
         self._latest[key] = (self.position, value)
-        if len(self._latest) > self._most:
+        if len(self._latest) > self._max_keys:
             self._latest.popitem(last=False)
 
     def drop(self, key: Key) -> None:
-        """Forget a key; no reader is told."""
+        """Remove a key without a change that readers see."""
         self._latest.pop(key, None)
 
     def since(self, position: int) -> list[tuple[Key, Value]]:
         """Return the changes after a position, the oldest first."""
-        found = []
+        changes = []
         for key in reversed(self._latest):
-            at, value = self._latest[key]
-            if at <= position:
+            changed_position, value = self._latest[key]
+            if changed_position <= position:
                 break
-            found.append((key, value))
-        found.reverse()
-        return found
+            changes.append((key, value))
+        changes.reverse()
+        return changes
--- a/gentianstair/gateway/hub_client.py
+++ b/gentianstair/gateway/hub_client.py
@@ -1,4 +1,4 @@
-"""Keep a leaf's one link to a hub, and take from it what it has to know."""
+"""Keep a leaf's link to a hub: report load, and apply the hub's feed."""
 
 import loguru
 import msgspec
@@ -16,149 +16,160 @@
 from gentianstair.generated import messages
 from gentianstair.peers import link
 
-# A leaf tells its load and is told all others' this often.
-ASK_S = 0.25
-# A hub that is silent for so long may be frozen or cut off.
-ANSWER_S = 0.5
-OPEN_S = 0.6
-# A hub that did not answer, or does not see the store, is tried again after
-# this time.
-AVOID_S = 4.0
-# A hub whose store answered it longer ago than this is left for another. With
-# the time to notice its silence it stays well below the two seconds in which
-# a leaving replica may get new work; a hub's own watch takes less than this.
-OLD_S = 0.9
-# Pause while there is no hub to go to, or none that was not left lately.
-LOOK_S = 0.5
+# How often a leaf sends its load and gets the feed in return.
+REPORT_INTERVAL_S = 0.25
+# Timeout of the hub's answer to a report.
+ANSWER_TIMEOUT_S = 0.5
+OPEN_TIMEOUT_S = 0.6
+# How long a hub that failed, or that lost the store, is passed over.
+HUB_COOLDOWN_S = 4.0
+# A leaf changes to another hub if the store last answered its hub longer ago
+# than this. Together with ANSWER_TIMEOUT_S it must be less than the two
+# seconds within which a draining replica may still get new work, and it must
+# be more than the timeout of a hub's watch.
+MAX_STORE_AGE_S = 0.9
+# Pause while no hub is received, or all of them are passed over.
+HUB_RETRY_S = 0.5
 
 
 class HubClient:
-    """The leaf's end of its link; it moves to another hub when it must."""
+    """A leaf's link to a hub; it fails over to another hub."""
 
     def __init__(
         self,
         node: nodes.Node,
         network: link.Network,
-        knowledge: peer_updates.PeerUpdates,
+        updates: peer_updates.PeerUpdates,
     ) -> None:
         self._node = node
         self._network = network
-        self._knowledge = knowledge
-        # Until when a hub is passed over, by its VM.
-        self._avoided_s: dict[str, float] = {}
+        self._updates = updates
+        # Until when each hub is passed over, by VM name.
+        self._avoided_until_s: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Stay with a hub while this VM is a leaf, until cancelled."""
+        """Keep a link to a hub while this VM is a leaf, until cancelled."""
         while True:
-            hub = self._choose()
+            hub = self._choose_hub()
             if hub is not None and self._is_avoided(hub):
-                # All were left lately, as while the store is away. A leaf
-                # that went on at once would open hundreds of links a second,
-                # at a cost to itself and to the hubs.
-                await trio.sleep(LOOK_S)
-                hub = self._choose()
+                # All hubs failed lately, as in an outage of the store.
+                # Without a pause the leaf would open hundreds of links a
+                # second.
+                await trio.sleep(HUB_RETRY_S)
+                hub = self._choose_hub()
             if hub is None:
-                await trio.sleep(LOOK_S)
+                await trio.sleep(HUB_RETRY_S)
                 continue
-            await self._stay(hub)
+            await self._use_hub(hub)
 
     def _is_avoided(self, hub: hubs.Vm) -> bool:
-        return self._avoided_s.get(hub.name, 0.0) > self._node.clock()
+        return self._avoided_until_s.get(hub.name, 0.0) > self._node.clock()
 
-    def _choose(self) -> hubs.Vm | None:
-        """Return the hub to go to, None if this VM needs none."""
+    def _choose_hub(self) -> hubs.Vm | None:
+        """Return the hub to link to, None if this VM needs or knows none."""
         roster = self._node.roster
         if roster.is_hub():
             return None
         own, now_s = roster.own, self._node.clock()
-        found = hubs.preferred(own.name, own.failure_domain, roster.hubs())
+        preferred = hubs.by_preference(
+            own.name, own.failure_domain, roster.hubs()
+        )
         return min(
-            found,
-            # All others being avoided, the one that was left longest ago.
-            key=lambda hub: max(now_s, self._avoided_s.get(hub.name, 0.0)),
+            preferred,
+            # If all are passed over, the one whose cooldown ends first.
+            key=lambda hub: max(
+                now_s, self._avoided_until_s.get(hub.name, 0.0)
+            ),
             default=None,
         )
 
-    async def _stay(self, hub: hubs.Vm) -> None:
-        """Be told by one hub for as long as it knows what goes on."""
-        why = 'no connection in time'
+    async def _use_hub(self, hub: hubs.Vm) -> None:
+        """Exchange reports and feeds with one hub until it fails."""
+        failure = 'no connection in time'
         try:
             with trio.CancelScope() as opening:
-                opening.deadline = trio.current_time() + OPEN_S
+                opening.deadline = trio.current_time() + OPEN_TIMEOUT_S
                 async with self._network.open(hub.peer_address) as channel:
                     opening.deadline = float('inf')
-                    why = await self._converse(channel)
+                    failure = await self._exchange(channel)
         except link.LinkClosedError as error:
-            why = str(error)
-        if not why:
+            failure = str(error)
+        if not failure:
             return
-        # What this hub said last must not pass for current.
-        self._node.roster.forget_told()
-        self._avoided_s[hub.name] = self._node.clock() + AVOID_S
+        # The last feed must not be used any longer.
+        self._node.roster.clear_hub_feed()
+        self._avoided_until_s[hub.name] = self._node.clock() + HUB_COOLDOWN_S
         loguru.logger.bind(event=events.LINK_LOST, peer=hub.name).info(
-            'a hub is left: {}', why
+            'left the hub: {}', failure
         )
 
-    async def _converse(self, channel: link.Channel) -> str:
-        """Tell and be told; return why the hub is left, '' for no fault."""
+    async def _exchange(self, channel: link.Channel) -> str:
+        """Send reports and apply feeds; return the failure that ends it.
+
+        It is empty if this VM has become a hub.
+        """
         node = self._node
-        told_at = 0
+        sent_position = 0
         process = ''
         try:
             while not node.roster.is_hub():
-                position = node.cache_news.mine.position
-                await channel.send(link.encode(self._word(told_at)))
-                told_at = position
-                feed = await self._hear(channel)
+                position = node.cache_news.hub_log.position
+                await channel.send(
+                    link.encode(self._make_report(sent_position))
+                )
+                sent_position = position
+                feed = await self._receive_feed(channel)
                 if feed is None:
-                    return 'silent'
+                    return 'no feed in time'
                 process = feed['process']
                 try:
-                    age_s = self._take(feed)
+                    age_s = self._apply_feed(feed)
                 except errors.DecodeError as error:
-                    _unreadable(error)
-                    return 'unreadable'
-                if age_s > OLD_S:
-                    return 'the store does not answer it'
-                await trio.sleep(ASK_S)
+                    _log_unreadable(error)
+                    return 'invalid feed'
+                if age_s > MAX_STORE_AGE_S:
+                    return 'its data from the store is too old'
+                await trio.sleep(REPORT_INTERVAL_S)
             return ''
         finally:
             node.work.remove_peer(process)
 
-    def _word(self, told_at: int) -> messages.GatewayLoad:
+    def _make_report(self, sent_position: int) -> messages.GatewayLoad:
         node = self._node
-        return load_message(node, node.work.local(), told_at, leaf=True)
+        return load_message(
+            node, node.work.local(), sent_position, is_leaf=True
+        )
 
-    async def _hear(
+    async def _receive_feed(
         self, channel: link.Channel
     ) -> messages.GatewayFeed | None:
-        with trio.move_on_after(ANSWER_S):
+        with trio.move_on_after(ANSWER_TIMEOUT_S):
             while True:
                 try:
                     message = link.decode(await channel.receive())
                 except errors.DecodeError as error:
-                    _unreadable(error)
+                    _log_unreadable(error)
                     return None
                 if message is not None and message['type'] == 'feed':
                     return message
         return None
 
-    def _take(self, feed: messages.GatewayFeed) -> float:
-        """Take what a hub says; return the age of what it knows."""
-        node, knowledge = self._node, self._knowledge
+    def _apply_feed(self, feed: messages.GatewayFeed) -> float:
+        """Apply a hub's feed; return the age of its data from the store."""
+        node, updates = self._node, self._updates
         if 'config' in feed:
-            knowledge.take_config(feed['config'])
+            updates.apply_config(feed['config'])
         age_s = feed['age_ms'] / 1000
         node.work.update_peer(
             feed['process'], replica_load.decode(feed['loads'])
         )
-        node.cache_news.take(feed['cache'], passed_on=False)
-        if age_s <= max(OLD_S, knowledge.touch.age_s):
-            self._take_replicas(feed)
-            knowledge.touch.heard(age_s)
-        if age_s <= OLD_S and node.is_informed():
-            node.roster.tell(
-                rosters.Told(
+        node.cache_news.apply_rows(feed['cache'], to_hubs=False)
+        if age_s <= max(MAX_STORE_AGE_S, updates.store_health.age_s):
+            self._apply_replicas(feed)
+            updates.store_health.record_hub_answer(age_s)
+        if age_s <= MAX_STORE_AGE_S and node.is_informed():
+            node.roster.set_hub_feed(
+                rosters.HubFeed(
                     node.clock(),
                     feed['vms'],
                     tuple(leaf_feed.decode_hub(row) for row in feed['hubs']),
@@ -167,17 +178,19 @@
             )
         return age_s
 
-    def _take_replicas(self, feed: messages.GatewayFeed) -> None:
+    def _apply_replicas(self, feed: messages.GatewayFeed) -> None:
         registry = self._node.registry
         try:
-            known = msgspec.convert(feed['replicas'], list[replicas.Replica])
+            received = msgspec.convert(
+                feed['replicas'], list[replicas.Replica]
+            )
         except msgspec.ValidationError as error:
-            _unreadable(error)
+            _log_unreadable(error)
             return
         if feed['whole']:
-            registry.replace(known, after_outage=False)
+            registry.replace(received, after_outage=False)
             return
-        for replica in known:
+        for replica in received:
             registry.put(replica)
         for name in feed['gone']:
             registry.remove(name)
@@ -186,23 +199,23 @@
 def load_message(
     node: nodes.Node,
     work: dict[str, replica_load.Load],
-    told_at: int,
-    leaf: bool,
+    sent_position: int,
+    is_leaf: bool,
 ) -> messages.GatewayLoad:
-    """Return what a VM tells of its load, and of caches since told_at."""
-    force = node.force.catalog
-    cache = node.cache_news.mine.since(told_at)
+    """Return a VM's load report, with cache changes since sent_position."""
+    current = node.force.catalog
+    cache_changes = node.cache_news.hub_log.since(sent_position)
     return {
         'version': link.VERSION,
         'type': 'load',
-        'process': node.roster.process,
+        'process': node.roster.process_name,
         'address': node.deployment.peer_address,
-        'config_version': force.version if force else 0,
+        'config_version': current.version if current else 0,
         'loads': replica_load.encode(work),
-        'leaf': leaf,
-        'cache': [list(change) for _, change in cache],
+        'leaf': is_leaf,
+        'cache': [list(change) for _, change in cache_changes],
     }
 
 
-def _unreadable(error: Exception) -> None:
+def _log_unreadable(error: Exception) -> None:
     loguru.logger.bind(event=events.PEER_UNREADABLE).warning('{}', error)
--- a/gentianstair/gateway/leader_tasks.py
+++ b/gentianstair/gateway/leader_tasks.py
@@ -91,7 +91,7 @@
         frequent in a large fleet.
         """
         end_s = (window + 1) * self._timing.window_s
-        written_s = self._members.beat_s + COUNTS_WRITTEN_S
+        written_s = self._members.heartbeat_s + COUNTS_WRITTEN_S
         latest_s = self._timing.max_delay_s - REPORT_RESERVE_S
         return end_s + max(
             SEAL_SHARE * self._timing.max_delay_s, min(written_s, latest_s)
@@ -109,7 +109,7 @@
             ).info('reported {} requests', sum(counts.values()))
             self._next_window = window + 1
             await self._delete_seal(window - KEPT_SEALS)
-            await self._members.forget_old()
+            await self._members.delete_expired()
 
     async def _seal(self, window: int) -> dict[str, int]:
         """Return a window's counts; seal them unless they are sealed."""
@@ -117,7 +117,7 @@
         if known is not None:
             return known
         records = await self._members.records()
-        parts = [memberships.counts_of(record) for record in records]
+        parts = [memberships.usage_windows(record) for record in records]
         counts = usage_counter.window_total(parts, window)
         value = {'counts': counts, 'nonce': settled.new_nonce()}
         try:
--- a/gentianstair/gateway/roster.py
+++ b/gentianstair/gateway/roster.py
@@ -1,8 +1,8 @@
-"""Know this VM's place in the fleet: hub or leaf, and what it follows.
+"""Track the fleet's VMs, this VM's role (hub or leaf) and its replicas.
 
-A leaf learns from its hub how many VMs there are, who the hubs are and which
-replicas' caches it is to follow. While no hub tells it anything it reads the
-store by itself, as a hub does.
+A leaf learns from its hub's feed how many VMs there are, which are hubs and
+whose replicas' caches it follows. Without a current feed it reads the store
+itself, as a hub does.
 """
 
 import math
@@ -13,30 +13,30 @@
 from gentianstair.gateway import replicas
 from gentianstair.util import clock as clocks
 
-# A leaf whose hub was silent for so long reads the store by itself. With the
-# call to the store it must stay below the time in which a leaving replica
-# may get new work.
-UNTOLD_S = 1.2
-# A choice of hubs holds for so long.
-CHOSEN_S = 0.3
-# Assignments of replicas to VMs hold for so long.
-ASSIGNED_S = 0.5
-# Calls that a replica keeps waiting are shared with VMs that were replaced
-# and whose calls have not ended yet.
-SPARE_CALLS = 2
+# A leaf without a feed for this long reads the store itself. Together with
+# the call to the store it must take less than the two seconds within which a
+# draining replica may still get new work.
+FEED_TIMEOUT_S = 1.2
+# How long a selection of hubs is reused.
+HUB_SELECTION_S = 0.3
+# How long an assignment of replicas to VMs is reused.
+ASSIGNMENT_S = 0.5
+# Pending calls at a replica that are left to VMs which were replaced and
+# whose calls have not ended yet.
+RESERVED_CALLS = 2
 
 
-class Told(typing.NamedTuple):
-    """What a leaf's hub said last."""
+class HubFeed(typing.NamedTuple):
+    """The fleet as the last feed of a leaf's hub described it."""
 
-    at_s: float
-    vms: int
+    received_s: float
+    vm_count: int
     hubs: tuple[hubs.Vm, ...]
-    follow: frozenset[str]
+    followed_replicas: frozenset[str]
 
 
 class Roster:
-    """The VMs of the fleet as this one sees them."""
+    """The VMs of the fleet as this one knows them."""
 
     def __init__(
         self,
@@ -49,42 +49,45 @@
         self._members = members
         self._registry = registry
         self._clock = clock
-        self._told: Told | None = None
-        # The hubs by what this VM sees itself, and until when that holds.
-        self._chosen: list[hubs.Vm] = []
-        self._chosen_until_s = -math.inf
-        # The newest link of each leaf's process that this VM tells.
+        self._hub_feed: HubFeed | None = None
+        # The hubs selected from the VMs in the store, and until when this
+        # selection is reused.
+        self._selected: list[hubs.Vm] = []
+        self._selected_until_s = -math.inf
+        # The newest link of each leaf that this hub serves, by the name of
+        # the leaf's process.
         self.leaves: dict[str, typing.Any] = {}
+        # The replicas that each process follows, by its name.
         self._assigned: dict[str, list[str]] = {}
-        self._assigned_s: float | None = None
+        self._assigned_at_s: float | None = None
 
     @property
-    def process(self) -> str:
+    def process_name(self) -> str:
         """Return this process's name."""
         return self._members.name
 
-    def tell(self, told: Told) -> None:
-        """Take what a hub says."""
-        self._told = told
+    def set_hub_feed(self, feed: HubFeed) -> None:
+        """Set the hub's newest feed."""
+        self._hub_feed = feed
 
-    def forget_told(self) -> None:
-        """Forget what a hub said, as it says no more."""
-        self._told = None
+    def clear_hub_feed(self) -> None:
+        """Drop the feed of a hub that was left."""
+        self._hub_feed = None
 
-    def is_told(self) -> bool:
-        """Return whether a hub keeps this VM up to date."""
-        return self._fresh() is not None and not self.is_hub()
+    def has_hub_feed(self) -> bool:
+        """Return whether this VM is a leaf with a current feed."""
+        return self._current_feed() is not None and not self.is_hub()
 
-    def _fresh(self) -> Told | None:
-        """Return what a hub said, unless that is long ago."""
-        told = self._told
-        if told is None or self._clock() - told.at_s > UNTOLD_S:
+    def _current_feed(self) -> HubFeed | None:
+        """Return the hub's last feed, or None if it is too old."""
+        feed = self._hub_feed
+        if feed is None or self._clock() - feed.received_s > FEED_TIMEOUT_S:
             return None
-        return told
+        return feed
 
     def vms(self) -> list[hubs.Vm]:
         """Return the VMs that this one sees in the store, itself included."""
-        found = {
+        by_name = {
             member.record.vm: hubs.Vm(
                 member.record.vm,
                 member.record.failure_domain,
@@ -93,24 +96,24 @@
             )
             for member in self._members.alive()
         }
-        found[self.own.name] = self.own
-        return list(found.values())
+        by_name[self.own.name] = self.own
+        return list(by_name.values())
 
-    def count(self) -> int:
-        """Return how many VMs there are, if that is known."""
-        told = self._fresh()
-        return told.vms if told else self._members.count()
+    def vm_count(self) -> int:
+        """Return how many VMs there are, or an assumed number."""
+        feed = self._current_feed()
+        return feed.vm_count if feed else self._members.count()
 
     def hubs(self) -> list[hubs.Vm]:
         """Return the hubs of the fleet."""
-        told = self._fresh()
-        if told is not None:
-            return list(told.hubs)
+        feed = self._current_feed()
+        if feed is not None:
+            return list(feed.hubs)
         now_s = self._clock()
-        if now_s >= self._chosen_until_s:
-            self._chosen = hubs.choose(self.vms())
-            self._chosen_until_s = now_s + CHOSEN_S
-        return self._chosen
+        if now_s >= self._selected_until_s:
+            self._selected = hubs.select(self.vms())
+            self._selected_until_s = now_s + HUB_SELECTION_S
+        return self._selected
 
     def is_hub(self) -> bool:
         """Return whether this VM is one of the hubs."""
@@ -118,54 +121,54 @@
 
     def is_mesh(self) -> bool:
         """Return whether all VMs are hubs, so that there are no leaves."""
-        if self._fresh() is not None:
+        if self._current_feed() is not None:
             return False
         return len(self.hubs()) == len(self.vms())
 
     def reads_cache_list(self, replica: str) -> bool:
-        """Return whether this VM reads for all others what a replica keeps.
+        """Return whether this VM lists a replica's cache for all others.
 
-        A leaf that follows a replica was chosen to by its hub.
+        In a mesh a few hubs do; in a larger fleet any VM that follows it.
         """
         if not self.is_mesh():
             return True
-        names = [hub.name for hub in self.hubs()]
-        return self.own.name in hubs.keep(names, replica)
+        hub_names = [hub.name for hub in self.hubs()]
+        return self.own.name in hubs.top_ranked(hub_names, replica)
 
-    def shares_cache_news(self) -> bool:
-        """Return whether VMs tell each other what replicas keep.
+    def shares_cache_updates(self) -> bool:
+        """Return whether VMs forward changes of replicas' caches.
 
-        A small fleet need not, as each of its VMs asks each replica.
+        In a small fleet each VM polls each replica itself.
         """
         calls = self._registry.max_cache_calls
-        return not self.is_mesh() or len(self.hubs()) > calls - SPARE_CALLS
+        return not self.is_mesh() or len(self.hubs()) > calls - RESERVED_CALLS
 
-    def follows(self) -> set[str]:
-        """Return the names of the replicas whose caches to follow here."""
-        told = self._fresh()
-        if told is not None and not self.is_hub():
-            return set(told.follow)
-        return set(self.follows_of(self._members.name))
+    def followed_replicas(self) -> set[str]:
+        """Return the replicas whose caches this process follows."""
+        feed = self._current_feed()
+        if feed is not None and not self.is_hub():
+            return set(feed.followed_replicas)
+        return set(self.assigned_replicas(self._members.name))
 
-    def follows_of(self, process: str) -> list[str]:
-        """Return the replicas that a leaf, or this process, is to follow."""
+    def assigned_replicas(self, process_name: str) -> list[str]:
+        """Return the replicas that a process, a leaf's or this, follows."""
         now_s = self._clock()
-        at_s = self._assigned_s
-        if at_s is None or now_s - at_s > ASSIGNED_S:
+        assigned_at_s = self._assigned_at_s
+        if assigned_at_s is None or now_s - assigned_at_s > ASSIGNMENT_S:
             self._assigned = self._assign()
-            self._assigned_s = now_s
-        return self._assigned.get(process, [])
+            self._assigned_at_s = now_s
+        return self._assigned.get(process_name, [])
 
     def _assign(self) -> dict[str, list[str]]:
-        """Share the replicas that this hub answers for with its leaves."""
-        names = [r.name for r in self._registry.all() if r.stage]
-        if not self.shares_cache_news():
-            return {self._members.name: names}
+        """Distribute this hub's replicas over its leaves."""
+        replica_names = [r.name for r in self._registry.all() if r.stage]
+        if not self.shares_cache_updates():
+            return {self._members.name: replica_names}
         hub_names = [hub.name for hub in self.hubs()]
-        takers = sorted(self.leaves) or [self._members.name]
-        found: dict[str, list[str]] = {}
-        for name in names:
-            if self.own.name in hubs.keep(hub_names, name):
-                (taker,) = hubs.keep(takers, name, 1)
-                found.setdefault(taker, []).append(name)
-        return found
+        process_names = sorted(self.leaves) or [self._members.name]
+        assigned: dict[str, list[str]] = {}
+        for name in replica_names:
+            if self.own.name in hubs.top_ranked(hub_names, name):
+                (process_name,) = hubs.top_ranked(process_names, name, 1)
+                assigned.setdefault(process_name, []).append(name)
+        return assigned
--- a/test/gateway/test_leader_tasks.py
+++ b/test/gateway/test_leader_tasks.py
@@ -88,7 +88,7 @@
     cloud, one, two = pair
     nursery.start_soon(one.members.run)
     two.counts.count_start('club')
-    await two.members.beat()
+    await two.members.write_heartbeat()
     nursery.start_soon(one.reporter.run, one.authority)
     await trio.sleep(12)
     assert cloud.reports[0] == (0, {'club': 1})
@@ -103,12 +103,12 @@
     """
     cloud, one, two = pair
     one.counts.count_start('club')
-    await one.members.beat()
+    await one.members.write_heartbeat()
     cloud.lost_answers = 1
     with trio.move_on_after(10.2):
         await one.reporter.run(one.authority)
     one.counts._windows[0]['club'] += 5
-    await one.members.beat()
+    await one.members.write_heartbeat()
     with trio.move_on_after(3):
         await two.reporter.run(two.authority)
     assert len(cloud.reports) == 2
@@ -128,9 +128,9 @@
     nursery.start_soon(two.members.run)
     await trio.sleep(2)
     delay_s = leader_tasks.takeover_delay_s(3.0)
-    assert one.members.candidates(delay_s) == ('p1',)
+    assert one.members.lease_candidates(delay_s) == ('p1',)
     await trio.sleep(10)
-    assert one.members.candidates(delay_s) == ('p1', 'p2')
+    assert one.members.lease_candidates(delay_s) == ('p1', 'p2')
 
 
 async def test_all_processes_are_candidates_after_a_common_start(
@@ -140,7 +140,9 @@
     nursery.start_soon(one.members.run)
     nursery.start_soon(two.members.run)
     await trio.sleep(2)
-    assert one.members.candidates(leader_tasks.takeover_delay_s(3.0)) == (
+    assert one.members.lease_candidates(
+        leader_tasks.takeover_delay_s(3.0)
+    ) == (
         'p1',
         'p2',
     )
@@ -170,12 +172,12 @@
     one.store.faults.lose_answers = lost
     for number in range(20):
         one.counts.count_start('club')
-        await one.members.beat()
+        await one.members.write_heartbeat()
         await trio.sleep(0.1)
         del number
     one.store.faults.lose_answers = 0.0
-    await one.members.beat()
-    await one.members.beat()
+    await one.members.write_heartbeat()
+    await one.members.write_heartbeat()
     (record,) = await one.members.records()
     assert sum(sum(c.values()) for c in record.windows.values()) == 20
 
--- a/test/gateway/test_leaf_feed.py
+++ b/test/gateway/test_leaf_feed.py
@@ -1,4 +1,4 @@
-"""Test a hub's ends of the links that its leaves open."""
+"""Test the feeds that a hub serves to its leaves."""
 
 import types
 
@@ -10,7 +10,7 @@
 from gentianstair.gateway import roster as rosters
 
 LEAF = 'vm-2.ab'
-WORD = {
+REPORT = {
     'process': LEAF,
     'loads': replica_load.encode({'i-1': replica_load.Load(3, 40.0)}),
     'config_version': 0,
@@ -18,7 +18,7 @@
 
 
 def make_node():
-    """Return what a hub's end of a link needs of a process."""
+    """Return the parts of a node that a leaf's feed uses."""
 
     def clock():
         return 100.0
@@ -30,7 +30,7 @@
     )
     roster = rosters.Roster(own, members, registry, clock)
     roster.hubs = list
-    roster.follows_of = lambda process: []
+    roster.assigned_replicas = lambda process: []
     return types.SimpleNamespace(
         roster=roster,
         work=replica_load.LoadTracker(clock),
@@ -40,16 +40,16 @@
     )
 
 
-def test_the_end_of_a_replaced_link_forgets_nothing():
-    # The hub forgot a leaf that had told it more on a new link.
+def test_closing_a_replaced_link_keeps_the_leaf():
+    # The leaf has already reported on a newer link.
     node = make_node()
-    touch = types.SimpleNamespace(told_age_s=0.0)
-    first, second = (leaf_feed.LeafFeed(node, touch) for _ in range(2))
-    first.answer(WORD)
-    second.answer(WORD)
-    first.end()
+    store_health = types.SimpleNamespace(reported_age_s=0.0)
+    first, second = (leaf_feed.LeafFeed(node, store_health) for _ in range(2))
+    first.handle_report(REPORT)
+    second.handle_report(REPORT)
+    first.close()
     assert node.work.load_of('i-1').running == 3
     assert LEAF in node.roster.leaves
-    second.end()
+    second.close()
     assert node.work.load_of('i-1').running == 0
     assert LEAF not in node.roster.leaves
--- a/test/gateway/test_usage_report_protocol.py
+++ b/test/gateway/test_usage_report_protocol.py
@@ -208,7 +208,7 @@
 async def count_unsealed(self, window):
     """Return the current counts without sealing them."""
     records = await self._members.records()
-    parts = [memberships.counts_of(record) for record in records]
+    parts = [memberships.usage_windows(record) for record in records]
     return usage_counter.window_total(parts, window)
 
 
