--- a/gentianstair/gateway/handler.py
+++ b/gentianstair/gateway/handler.py
@@ -16,8 +16,8 @@
 from gentianstair.gateway import forward
 from gentianstair.gateway import node as nodes
 from gentianstair.gateway import plain
+from gentianstair.gateway import request_state
 from gentianstair.gateway import streaming
-from gentianstair.gateway import task as tasks
 from gentianstair.generated import events
 from gentianstair.platform import wire
 from gentianstair.util import connections
@@ -56,7 +56,7 @@
         exchange.closes = node.leaving.is_set
         self._arrived_s = node.clock()
         self._call: calls.Call | None = None
-        self._task: tasks.Task | None = None
+        self._request: request_state.RequestState | None = None
         self._status = 0
 
     async def serve(self) -> None:
@@ -110,17 +110,17 @@
     def _account(self) -> None:
         took_s = self._node.clock() - self._arrived_s
         DURATION_S.observe(took_s)
-        task = self._task
-        verdict = task.verdict.name if task else 'NOT_RUN'
+        request = self._request
+        verdict = request.verdict.name if request else 'NOT_RUN'
         REQUESTS.labels(str(self._status), verdict).inc()
         loguru.logger.bind(
             event=events.ANSWER,
             request_id=self._call.request_id if self._call else '',
-            customer=task.customer_name if task else None,
-            route=task.route.name if task else None,
+            customer=request.customer_name if request else None,
+            route=request.route.name if request else None,
             status=self._status,
             verdict=verdict,
-            sent=task.sent if task else 0,
+            sent=request.attempts if request else 0,
             first_s=self._first_s(),
             **self._asked(),
             took_s=round(took_s, 3),
@@ -128,22 +128,22 @@
 
     def _asked(self) -> dict[str, float]:
         """Return what was to be kept to, and the longest pause there was."""
-        task = self._task
-        if task is None:
+        request = self._request
+        if request is None:
             return {}
-        prompt = task.call.prompt
+        prompt = request.call.prompt
         return {
-            'objective_s': task.route.objective_s,
-            'pause_s': task.route.pause_s,
-            'longest_pause_s': round(task.longest_pause_s, 3),
+            'objective_s': request.route.objective_s,
+            'pause_s': request.route.pause_s,
+            'longest_pause_s': round(request.longest_pause_s, 3),
             'prompt_tokens': prompt.tokens if prompt else 0,
         }
 
     def _first_s(self) -> float | None:
         """Return how long a stream's caller waited for its first event."""
-        if self._task is None or self._task.first_s is None:
+        if self._request is None or self._request.first_event_s is None:
             return None
-        return round(self._task.first_s - self._arrived_s, 3)
+        return round(self._request.first_event_s - self._arrived_s, 3)
 
     async def _fail(self, error: errors.RequestError) -> None:
         self._status = error.status
@@ -212,9 +212,11 @@
         if route is None:
             raise errors.RequestError(404, 'no-route', 'no such route')
         customer = self._customer(found, route, call)
-        task = self._task = self._make_task(call, body, route, customer)
-        node.repeats.request(task.service)
-        await self._until_gone(task, found.services.get(task.service))
+        request = self._request = self._make_request_state(
+            call, body, route, customer
+        )
+        node.repeats.request(request.service)
+        await self._until_gone(request, found.services.get(request.service))
 
     async def _catalog(self, call: calls.Call) -> catalog.Catalog | None:
         """Return the configuration in force, None if there is none yet.
@@ -238,17 +240,17 @@
             raise errors.RequestError(401, 'unknown-key', 'unknown key')
         return customer
 
-    def _make_task(
+    def _make_request_state(
         self,
         call: calls.Call,
         body: bytes,
         route: catalog.Route,
         customer: catalog.Customer | None,
-    ) -> tasks.Task:
+    ) -> request_state.RequestState:
         limit_s = route.timeout_s
         if call.patience_s is not None:
             limit_s = min(limit_s, call.patience_s)
-        return tasks.Task(
+        return request_state.RequestState(
             self._node,
             self._exchange,
             call,
@@ -260,49 +262,53 @@
         )
 
     async def _until_gone(
-        self, task: tasks.Task, service: catalog.Service | None
+        self,
+        request: request_state.RequestState,
+        service: catalog.Service | None,
     ) -> None:
         """Serve until done, the caller leaves or its deadline passes."""
-        if task.left_s() < tasks.LEAST_LEFT_S:
+        if request.remaining_s() < request_state.MIN_REMAINING_S:
             # Sent now it could only be cut, and might have run by then.
-            raise task.give_up()
+            raise request.final_error()
         end = await patience.run(
             self._exchange,
-            functools.partial(self._run, task, service),
-            task.left_s(),
+            functools.partial(self._run, request, service),
+            request.remaining_s(),
             self._node.grace,
         )
         if end is patience.End.DONE:
             return
-        if task.sent:
-            task.note(verdicts.Verdict.MAY_HAVE_RUN)
+        if request.attempts:
+            request.record_verdict(verdicts.Verdict.MAY_HAVE_RUN)
         if end is patience.End.GONE:
             raise exchanges.CallerGoneError('the caller hung up')
-        raise self._late(task, end)
+        raise self._late(request, end)
 
     def _late(
-        self, task: tasks.Task, end: patience.End
+        self, request: request_state.RequestState, end: patience.End
     ) -> errors.RequestError:
         """Return the error when time is over."""
-        if task.verdict is verdicts.Verdict.NOT_RUN:
-            return task.give_up()
+        if request.verdict is verdicts.Verdict.NOT_RUN:
+            return request.final_error()
         if end is patience.End.STOPPED:
             return errors.RequestError(
-                504, 'stopping', 'no answer before this stop', task.verdict
+                504, 'stopping', 'no answer before this stop', request.verdict
             )
         return errors.RequestError(
-            504, 'deadline-passed', 'no answer in time', task.verdict
+            504, 'deadline-passed', 'no answer in time', request.verdict
         )
 
     async def _run(
-        self, task: tasks.Task, service: catalog.Service | None
+        self,
+        request: request_state.RequestState,
+        service: catalog.Service | None,
     ) -> None:
         answer: forward.Answer | None
-        if task.route.kind is catalog.CallKind.STREAM:
+        if request.route.kind is catalog.CallKind.STREAM:
             engine = service.engine if service else None
-            answer = await streaming.Streaming(task, engine).serve()
+            answer = await streaming.Streaming(request, engine).serve()
         else:
-            answer = await plain.serve(task)
+            answer = await plain.serve(request)
         if answer is None:
             self._status = 200
             return
--- a/gentianstair/gateway/plain.py
+++ b/gentianstair/gateway/plain.py
@@ -6,54 +6,58 @@
 from gentianstair import verdict as verdicts
 from gentianstair.gateway import forward
 from gentianstair.gateway import replicas
-from gentianstair.gateway import task as tasks
+from gentianstair.gateway import request_state
 
 # A repeatable request is tried elsewhere when a replica is silent for this
 # many times the objective, if that leaves as much time again.
 SILENCE_OBJECTIVES = 3.0
 
 
-async def serve(task: tasks.Task) -> forward.Answer:
+async def serve(request: request_state.RequestState) -> forward.Answer:
     """Return a replica's answer; raise RequestError if there is none."""
     while True:
-        replica = task.node.placement.plain(task.candidates())
-        if replica is None or not task.pay():
+        replica = request.node.placement.plain(request.candidates())
+        if replica is None or not request.spend_retry():
             break
-        started_s = task.begin(replica)
+        started_s = request.begin_attempt(replica)
         try:
-            answer = await _try(task, replica)
-            task.note(answer.verdict)
-            task.succeeded(replica, started_s)
+            answer = await _try(request, replica)
+            request.record_verdict(answer.verdict)
+            request.record_success(replica, started_s)
             return answer
         except errors.UpstreamError as error:
-            task.failed(replica, error, started_s)
-            if not task.may_repeat(error.verdict):
+            request.record_failure(replica, error, started_s)
+            if not request.may_retry(error.verdict):
                 break
-    if task.failure is not None:
-        return task.failure
-    raise task.give_up()
+    if request.failure_response is not None:
+        return request.failure_response
+    raise request.final_error()
 
 
-def _limit_s(task: tasks.Task) -> float:
+def _limit_s(request: request_state.RequestState) -> float:
     """Return how long to wait for one replica."""
-    left_s = task.left_s()
-    silence_s = SILENCE_OBJECTIVES * task.route.objective_s
-    last = task.ran + 1 >= task.route.max_attempts
-    if last or not task.route.repeatable or left_s < 2 * silence_s:
+    left_s = request.remaining_s()
+    silence_s = SILENCE_OBJECTIVES * request.route.objective_s
+    last = request.possible_runs + 1 >= request.route.max_attempts
+    if last or not request.route.repeatable or left_s < 2 * silence_s:
         return left_s
     return silence_s
 
 
-async def _try(task: tasks.Task, replica: replicas.Replica) -> forward.Answer:
+async def _try(
+    request: request_state.RequestState, replica: replicas.Replica
+) -> forward.Answer:
     """Return the answer of one replica; raise UpstreamError without one."""
-    node = task.node
+    node = request.node
     sent = node.work.begin(replica.name)
     try:
-        with trio.move_on_after(_limit_s(task)):
-            answer = await forward.ask(node, task.call, task.sending(replica))
+        with trio.move_on_after(_limit_s(request)):
+            answer = await forward.ask(
+                node, request.call, request.make_attempt(replica)
+            )
             if answer.verdict is verdicts.Verdict.RAN:
-                node.usage.began(task.customer_name)
-            return _checked(task, answer)
+                node.usage.began(request.customer_name)
+            return _checked(request, answer)
     finally:
         node.work.end(sent)
     raise errors.UpstreamError(
@@ -61,14 +65,16 @@
     )
 
 
-def _checked(task: tasks.Task, answer: forward.Answer) -> forward.Answer:
+def _checked(
+    request: request_state.RequestState, answer: forward.Answer
+) -> forward.Answer:
     """Return an answer that may go on to the caller at once."""
     if answer.verdict is verdicts.Verdict.NOT_RUN:
         raise errors.TurnedAwayError(
             f'it answered {answer.status}', answer.status
         )
     if answer.status >= 500:
-        task.failure = answer
+        request.failure_response = answer
         raise errors.UpstreamError(
             f'it answered {answer.status}', answer.verdict
         )
--- a/gentianstair/gateway/prompt_read.py
+++ b/gentianstair/gateway/prompt_read.py
@@ -15,7 +15,7 @@
 from gentianstair.gateway import placement
 from gentianstair.gateway import reading
 from gentianstair.gateway import replicas
-from gentianstair.gateway import task as tasks
+from gentianstair.gateway import request_state
 from gentianstair.platform import wire
 
 
@@ -31,12 +31,12 @@
 
     def __init__(
         self,
-        task: tasks.Task,
+        request: request_state.RequestState,
         prompt: calls.Prompt,
         engine: catalog.Engine,
     ) -> None:
-        self._task = task
-        self._node = task.node
+        self._request = request
+        self._node = request.node
         self._prompt = prompt
         self._engine = engine
         self._kept: _Kept | None = None
@@ -55,7 +55,7 @@
         refused, so while replicas refuse or fail the budget must have room
         for one more. All other reads are repeats.
         """
-        repeats, service = self._node.repeats, self._task.service
+        repeats, service = self._node.repeats, self._request.service
         if self._reads:
             return repeats.take(service)
         return not repeats.spent(service) or repeats.left(service) >= 1
@@ -64,7 +64,7 @@
         """Have the prompt read as planned; raise UpstreamError."""
         reader = plan.reader
         assert reader is not None
-        task, node = self._task, self._node
+        request, node = self._request, self._node
         started_s = node.clock()
         sent = node.work.begin(
             reader.name,
@@ -75,7 +75,7 @@
         expected = node.cache.expect(
             reader.name, self._prompt, self._engine.kv_tokens
         )
-        sending = task.sending(
+        sending = request.make_attempt(
             reader,
             reads_only=True,
             copy_from=plan.copy.address,
@@ -83,7 +83,7 @@
         )
         answer = None
         try:
-            answer = await forward.ask(node, task.call, sending)
+            answer = await forward.ask(node, request.call, sending)
             source = wire.decode_handle(
                 reader.address, answer.status, answer.body
             )
@@ -97,7 +97,7 @@
         self._reads += 1
         self._kept = _Kept(source, reader.name)
         took_s = node.clock() - started_s
-        reading.note(task, self._prompt, reader, plan, took_s)
+        reading.note(request, self._prompt, reader, plan, took_s)
 
     def _failed(
         self,
@@ -110,15 +110,15 @@
         The users let the first read pass that a replica accepts. One that
         is refused is an arrival like others.
         """
-        task = self._task
+        request = self._request
         if not isinstance(error, errors.UnreachableError):
-            task.failed_reads += 1
+            request.failed_prefills += 1
             if not self._reads:
-                task.node.repeats.spend(task.service)
+                request.node.repeats.spend(request.service)
             self._reads += 1
-        task.tried.add(reader.name)
-        task.sent += 1
-        task.failed(reader, error, started_s, reads=True)
+        request.tried_replicas.add(reader.name)
+        request.attempts += 1
+        request.record_failure(reader, error, started_s, reads=True)
 
     def taken(self) -> None:
         """Note that a replica took the KV cache."""
--- a/gentianstair/gateway/reading.py
+++ b/gentianstair/gateway/reading.py
@@ -3,20 +3,20 @@
 from gentianstair.gateway import calls
 from gentianstair.gateway import placement
 from gentianstair.gateway import replicas
-from gentianstair.gateway import task as tasks
+from gentianstair.gateway import request_state
 from gentianstair.generated import events
 
 
 def note(
-    task: tasks.Task,
+    request: request_state.RequestState,
     prompt: calls.Prompt,
     replica: replicas.Replica,
     plan: placement.Plan,
     took_s: float,
 ) -> None:
     """Take a prompt that was read, took_s after it was sent."""
-    node = task.node
-    task.tell(
+    node = request.node
+    request.log(
         events.READ,
         'a prompt was read',
         replica=replica.name,
@@ -44,17 +44,17 @@
 
     def __init__(
         self,
-        task: tasks.Task,
+        request: request_state.RequestState,
         prompt: calls.Prompt,
         maker: replicas.Replica,
         plan: placement.Plan | None,
     ) -> None:
-        self._task = task
+        self._request = request
         self._prompt = prompt
         self._maker = maker
         # None if the prompt has been read elsewhere.
         self._plan = plan
-        node = task.node
+        node = request.node
         self._started_s = node.clock()
         work_s = plan.work_s if plan else 0.0
         more_s = plan.more_s if plan else 0.0
@@ -66,26 +66,26 @@
         """Note an event; say whether it is the run's first."""
         if self.first_s is not None:
             return False
-        node = self._task.node
+        node = self._request.node
         self.first_s = node.clock()
-        node.usage.began(self._task.customer_name)
+        node.usage.began(self._request.customer_name)
         self._sent.read()
         took_s = self.first_s - self._started_s
         if self._plan is None:
             self._note_moved(took_s)
         else:
-            note(self._task, self._prompt, self._maker, self._plan, took_s)
+            note(self._request, self._prompt, self._maker, self._plan, took_s)
         return True
 
     def _note_moved(self, took_s: float) -> None:
-        self._task.tell(
+        self._request.log(
             events.MOVED,
             'the first event came',
             replica=self._maker.name,
             took_s=round(took_s, 3),
         )
-        self._task.node.cache.confirm(self._maker.name, self._prompt)
+        self._request.node.cache.confirm(self._maker.name, self._prompt)
 
     def done(self) -> None:
         """Count the run as over."""
-        self._task.node.work.end(self._sent)
+        self._request.node.work.end(self._sent)
--- a/gentianstair/gateway/streaming.py
+++ b/gentianstair/gateway/streaming.py
@@ -21,7 +21,7 @@
 from gentianstair.gateway import prompt_read
 from gentianstair.gateway import reading as readings
 from gentianstair.gateway import replicas
-from gentianstair.gateway import task as tasks
+from gentianstair.gateway import request_state
 from gentianstair.generated import events
 from gentianstair.platform import wire
 
@@ -42,13 +42,19 @@
 class Streaming:
     """One streamed answer."""
 
-    def __init__(self, task: tasks.Task, engine: catalog.Engine | None):
-        self._task = task
-        self._node = task.node
+    def __init__(
+        self,
+        request: request_state.RequestState,
+        engine: catalog.Engine | None,
+    ):
+        self._request = request
+        self._node = request.node
         self._engine = engine or ENGINE
-        self._prompt = task.call.prompt or calls.Prompt('', 0, 0, ())
+        self._prompt = request.call.prompt or calls.Prompt('', 0, 0, ())
         self._events = event_stream.Events()
-        self._read = prompt_read.PromptRead(task, self._prompt, self._engine)
+        self._read = prompt_read.PromptRead(
+            request, self._prompt, self._engine
+        )
         # Passed through when a replica itself refuses or fails.
         self.answer: forward.Answer | None = None
 
@@ -57,28 +63,31 @@
 
         Raise RequestError when there is nothing to pass on.
         """
-        task = self._task
+        request = self._request
         try:
             while True:
                 plan = self._plan()
                 if plan is None:
                     break
                 if self._is_hopeless(plan):
-                    raise task.hopeless(plan.queued_s)
-                if not task.pay():
+                    raise request.no_time_error(plan.queued_s)
+                if not request.spend_retry():
                     break
                 try:
                     await self._run(plan)
                     return self.answer
                 except errors.UpstreamError as error:
-                    if not task.may_repeat(error.verdict):
+                    if not request.may_retry(error.verdict):
                         break
                 self._events.restart()
         finally:
             self._read.free()
-        if task.failure is not None and not task.exchange.started:
-            return task.failure
-        raise task.give_up()
+        if (
+            request.failure_response is not None
+            and not request.exchange.started
+        ):
+            return request.failure_response
+        raise request.final_error()
 
     def _is_hopeless(self, plan: placement.Plan) -> bool:
         """Return whether a request is sure not to be served in time.
@@ -86,24 +95,24 @@
         Sent all the same it would only keep others waiting. What was sent
         before, or is half answered, goes on for as long as it may.
         """
-        task = self._task
-        if task.verdict is not verdicts.Verdict.NOT_RUN:
+        request = self._request
+        if request.verdict is not verdicts.Verdict.NOT_RUN:
             return False
         if self._prompt.tokens > self._engine.kv_tokens:
             return True
-        return plan.expected_s > HOPELESS_TIMES * task.left_s()
+        return plan.expected_s > HOPELESS_TIMES * request.remaining_s()
 
     def _plan(self) -> placement.Plan | None:
-        task = self._task
+        request = self._request
         plan = self._node.placement.stream(
-            task.candidates(),
+            request.candidates(),
             self._prompt,
             self._engine,
-            len(task.body),
-            task.keepers(),
+            len(request.body),
+            request.kv_copy_sources(),
         )
         if plan is not None:
-            task.tell(
+            request.log(
                 events.ROUTE,
                 'chose replicas',
                 replica=plan.maker.name,
@@ -112,7 +121,7 @@
                 copied_tokens=plan.copy.tokens,
                 prompt_tokens=self._prompt.tokens,
                 expected_s=round(plan.expected_s, 3),
-                left_s=round(task.left_s(), 3),
+                left_s=round(request.remaining_s(), 3),
             )
         return plan
 
@@ -136,7 +145,7 @@
     def _without_reader(self, plan: placement.Plan) -> placement.Plan:
         """Have the maker read the prompt: one arrival in place of two."""
         direct = self._node.placement.stream(
-            [plan.maker], self._prompt, self._engine, len(self._task.body)
+            [plan.maker], self._prompt, self._engine, len(self._request.body)
         )
         assert direct is not None
         return direct
@@ -147,8 +156,10 @@
         A read may take seconds. The maker that was in mind may be leaving
         by now and must get no more work, and others may have less to do.
         """
-        task = self._task
-        maker = self._node.placement.maker(task.candidates(), len(task.body))
+        request = self._request
+        maker = self._node.placement.maker(
+            request.candidates(), len(request.body)
+        )
         if maker is None:
             raise errors.UpstreamError(
                 'nobody makes output now', verdicts.Verdict.NOT_RUN
@@ -158,7 +169,7 @@
     def _urgency(self) -> int:
         if self._events.delivered:
             return 0
-        return min(LEAST_URGENT, FIRST_URGENCY + self._task.urgency())
+        return min(LEAST_URGENT, FIRST_URGENCY + self._request.priority())
 
     async def _make(
         self,
@@ -170,41 +181,45 @@
 
         Without a plan there is nothing to read: the source holds it.
         """
-        task, node = self._task, self._node
+        request, node = self._request, self._node
         copy = plan.copy if plan else placement.NO_COPY
-        started_s = task.begin(maker)
+        started_s = request.begin_attempt(maker)
         if self._prompt.parts:
             node.cache.expect(maker.name, self._prompt, self._engine.kv_tokens)
-        sending = task.sending(
+        sending = request.make_attempt(
             maker,
             kv_source=source,
             copy_from=copy.address,
             resume_after=self._resume_after(),
             urgency=self._urgency(),
         )
-        reading = readings.Reading(task, self._prompt, maker, plan)
+        reading = readings.Reading(request, self._prompt, maker, plan)
         try:
-            async with forward.open_answer(node, task.call, sending) as found:
+            async with forward.open_answer(
+                node, request.call, sending
+            ) as found:
                 await self._pass_on(found, reading)
         except errors.UpstreamError as error:
-            task.failed(maker, error, started_s, events=self._events.delivered)
+            request.record_failure(
+                maker, error, started_s, events=self._events.delivered
+            )
             raise
         finally:
             reading.done()
-        task.succeeded(maker, reading.first_s or started_s)
+        request.record_success(maker, reading.first_s or started_s)
 
     def _resume_after(self) -> str | None:
-        return self._events.last_id or self._task.call.resume_after
+        return self._events.last_id or self._request.call.resume_after
 
     async def _pass_on(
         self, found: httpx.Response, reading: readings.Reading
     ) -> None:
-        task = self._task
+        request = self._request
         verdict = wire.verdict_of(found)
         if found.status_code != 200:
             await self._refused(found, verdict)
             return
-        silence_s = max(LEAST_SILENCE_S, SILENT_PAUSES * task.route.pause_s)
+        silence_s = max(LEAST_SILENCE_S, SILENT_PAUSES * request.route.pause_s)
         stream = aiter(found.stream)
         # The first event may have to wait for its turn.
         limit_s = math.inf
@@ -224,30 +239,30 @@
             if reading.first():
                 limit_s = silence_s
                 await self._start(found)
-            task.passed_on()
-            await task.exchange.write(whole)
+            request.record_event_sent()
+            await request.exchange.write(whole)
         if not self._events.is_whole() or not self._events.delivered:
             raise errors.UpstreamError(
                 'the stream ends in an event', verdicts.Verdict.RAN
             )
-        task.note(verdicts.Verdict.RAN)
-        await task.exchange.end()
+        request.record_verdict(verdicts.Verdict.RAN)
+        await request.exchange.end()
 
     async def _start(self, found: httpx.Response) -> None:
-        task = self._task
-        if not task.exchange.started:
-            task.first_s = task.node.clock()
-            await task.exchange.start(200, wire.answer_headers(found))
+        request = self._request
+        if not request.exchange.started:
+            request.first_event_s = request.node.clock()
+            await request.exchange.start(200, wire.answer_headers(found))
 
     async def _refused(
         self, found: httpx.Response, verdict: verdicts.Verdict
     ) -> None:
         """Take an answer that is no stream."""
         answer = await forward.read_answer(found)
-        task = self._task
+        request = self._request
         if answer.status < 500 and verdict is verdicts.Verdict.RAN:
-            task.note(verdict)
-            if task.exchange.started:
+            request.record_verdict(verdict)
+            if request.exchange.started:
                 raise errors.UpstreamError(
                     f'a resumption was answered {answer.status}', verdict
                 )
@@ -257,5 +272,5 @@
             raise errors.TurnedAwayError(
                 f'it answered {answer.status}', answer.status
             )
-        task.failure = answer
+        request.failure_response = answer
         raise errors.UpstreamError(f'it answered {answer.status}', verdict)
