--- a/gentianstair/gateway/remote_prefill.py
+++ b/gentianstair/gateway/remote_prefill.py
@@ -15,7 +15,7 @@
 from gentianstair.gateway import placement
 from gentianstair.gateway import reading
 from gentianstair.gateway import replicas
-from gentianstair.gateway import task as tasks
+from gentianstair.gateway import request_state
 from gentianstair.platform import wire
 
 
@@ -32,12 +32,12 @@
 
     def __init__(
         self,
-        task: tasks.Task,
+        request: request_state.RequestState,
         prompt: calls.Prompt,
         engine: catalog.Engine,
     ) -> None:
-        self._task = task
-        self._node = task.node
+        self._request = request
+        self._node = request.node
         self._prompt = prompt
         self._engine = engine
         self._held: _HeldKv | None = None
@@ -56,7 +56,7 @@
         costs a retry. So while this VM spends retries, one must be left.
         Every further prefill is a retry.
         """
-        budget, service = self._node.repeats, self._task.service
+        budget, service = self._node.repeats, self._request.service
         if self._attempts:
             return budget.try_spend(service)
         return not budget.spent(service) or budget.remaining(service) >= 1
@@ -65,7 +65,7 @@
         """Run the prefill of a plan; raise UpstreamError."""
         replica = plan.prefill_replica
         assert replica is not None
-        task, node = self._task, self._node
+        request, node = self._request, self._node
         started_s = node.clock()
         request = node.work.begin(
             replica.name,
@@ -76,7 +76,7 @@
         expected = node.cache.expect(
             replica.name, self._prompt, self._engine.kv_tokens
         )
-        sending = task.sending(
+        sending = request.make_attempt(
             replica,
             reads_only=True,
             copy_from=plan.copy.address,
@@ -84,7 +84,7 @@
         )
         answer = None
         try:
-            answer = await forward.ask(node, task.call, sending)
+            answer = await forward.ask(node, request.call, sending)
             source = wire.decode_handle(
                 replica.address, answer.status, answer.body
             )
@@ -98,7 +98,7 @@
         self._attempts += 1
         self._held = _HeldKv(source, replica.name)
         took_s = node.clock() - started_s
-        reading.note(task, self._prompt, replica, plan, took_s)
+        reading.note(request, self._prompt, replica, plan, took_s)
 
     def _failed(
         self,
@@ -110,15 +110,15 @@
 
         Only the first prefill that a replica accepts is free of charge.
         """
-        task = self._task
+        request = self._request
         if not isinstance(error, errors.UnreachableError):
-            task.failed_reads += 1
+            request.failed_prefills += 1
             if not self._attempts:
-                task.node.repeats.spend(task.service)
+                request.node.repeats.spend(request.service)
             self._attempts += 1
-        task.tried.add(replica.name)
-        task.sent += 1
-        task.failed(replica, error, started_s, reads=True)
+        request.tried_replicas.add(replica.name)
+        request.attempts += 1
+        request.record_failure(replica, error, started_s, reads=True)
 
     def taken(self) -> None:
         """Record that a decode replica took the KV cache."""
