--- a/gentianstair/gateway/cache_watch.py
+++ b/gentianstair/gateway/cache_watch.py
@@ -70,7 +70,7 @@
         while True:
             try:
                 request = wire.cache_events_request(
-                    replica.address, since, WAIT_S, forward.CONNECT_S
+                    replica.address, since, WAIT_S, forward.CONNECT_TIMEOUT_S
                 )
                 changes = wire.decode_cache_events(await _ask(node, request))
                 if epoch is not None and changes.epoch != epoch:
@@ -116,7 +116,9 @@
     ).info('changes of a replica cache are missing')
     if not reads:
         return since
-    request = wire.cache_list_request(replica.address, forward.CONNECT_S)
+    request = wire.cache_list_request(
+        replica.address, forward.CONNECT_TIMEOUT_S
+    )
     listing = wire.decode_cache_list(await _ask(node, request))
     _take(node, replica, listing, passed_on=True)
     return listing.next
--- a/gentianstair/gateway/calls.py
+++ b/gentianstair/gateway/calls.py
@@ -38,11 +38,11 @@
     host: str
     path: str
     headers: Headers
-    key: str | None
+    api_key: str | None
     # How long the caller waits, from its arrival; None if it does not say.
-    patience_s: float | None
+    timeout_s: float | None
     # The last event of the stream that the caller has.
-    resume_after: str | None
+    last_event_id: str | None
     prompt: Prompt | None
 
 
@@ -53,19 +53,19 @@
     handle: str
 
 
-class Sending(typing.NamedTuple):
+class Attempt(typing.NamedTuple):
     """How a call goes to one replica."""
 
     replica: replicas.Replica
     customer: str | None
-    left_s: float
+    remaining_s: float
     body: bytes
     # The replica is to read the prompt and keep its KV cache, no more.
-    reads_only: bool = False
+    prefill_only: bool = False
     kv_source: KvSource | None = None
     # The address of a replica from whose memory the one that reads the
     # prompt first copies what it lacks itself.
-    copy_from: str | None = None
-    resume_after: str | None = None
+    kv_copy_address: str | None = None
+    last_event_id: str | None = None
     # 0 first to 9 last; None leaves it to the replica.
-    urgency: int | None = None
+    priority: int | None = None
--- a/gentianstair/gateway/forward.py
+++ b/gentianstair/gateway/forward.py
@@ -18,11 +18,11 @@
 
 # A replica accepts within milliseconds; one that has lost power or lies
 # behind a cut does not answer at all, and the request can go elsewhere.
-CONNECT_S = 0.5
-MAX_ANSWER_BYTES = 8 * 1024 * 1024
+CONNECT_TIMEOUT_S = 0.5
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 
 
-class Answer(typing.NamedTuple):
+class ReplicaResponse(typing.NamedTuple):
     """A whole answer of a replica, as it goes on to the caller."""
 
     status: int
@@ -37,14 +37,14 @@
 
 
 @contextlib.asynccontextmanager
-async def open_answer(
-    node: nodes.Node, call: calls.Call, sending: calls.Sending
+async def open_response(
+    node: nodes.Node, call: calls.Call, sending: calls.Attempt
 ) -> collections.abc.AsyncIterator[httpx.Response]:
     """Yield the answer at its headers; leaving early cancels the work.
 
     Raise UpstreamError with what is known of the request's effect.
     """
-    outgoing = wire.encode_sending(call, sending, CONNECT_S)
+    outgoing = wire.encode_sending(call, sending, CONNECT_TIMEOUT_S)
     response = await node.transport.handle_async_request(outgoing)
     try:
         yield response
@@ -55,13 +55,13 @@
 
 async def read_body(response: httpx.Response) -> bytes:
     """Return a whole body; raise UpstreamError if it does not come whole."""
-    return await transport.read_all(response, MAX_ANSWER_BYTES)
+    return await transport.read_all(response, MAX_RESPONSE_BYTES)
 
 
-async def read_answer(response: httpx.Response) -> Answer:
+async def read_response(response: httpx.Response) -> ReplicaResponse:
     """Return an answer with its body."""
     body = await read_body(response)
-    return Answer(
+    return ReplicaResponse(
         response.status_code,
         wire.answer_headers(response),
         body,
@@ -69,21 +69,21 @@
     )
 
 
-async def ask(
-    node: nodes.Node, call: calls.Call, sending: calls.Sending
-) -> Answer:
+async def fetch_response(
+    node: nodes.Node, call: calls.Call, sending: calls.Attempt
+) -> ReplicaResponse:
     """Send a call and return its whole answer; raise UpstreamError."""
-    async with open_answer(node, call, sending) as response:
-        return await read_answer(response)
+    async with open_response(node, call, sending) as response:
+        return await read_response(response)
 
 
 async def release_kv(
     node: nodes.Node, replica: str, source: calls.KvSource
 ) -> None:
     """Free a KV cache that nobody will take; it frees itself in the end."""
-    request = wire.release_kv_request(replica, source, CONNECT_S)
+    request = wire.release_kv_request(replica, source, CONNECT_TIMEOUT_S)
     why = 'no answer in time'
-    with trio.move_on_after(CONNECT_S * 2):
+    with trio.move_on_after(CONNECT_TIMEOUT_S * 2):
         try:
             response = await node.transport.handle_async_request(request)
             try:
--- a/gentianstair/gateway/handler.py
+++ b/gentianstair/gateway/handler.py
@@ -198,7 +198,7 @@
         # Read before any answer: a connection whose request was not read
         # to its end can't be used again, and its caller would not know.
         body = await exchange.read_body(
-            limits.body_bytes, call.patience_s or limits.idle_s
+            limits.body_bytes, call.timeout_s or limits.idle_s
         )
         found = await self._catalog(call)
         if found is None:
@@ -227,7 +227,7 @@
         """
         node = self._node
         if not node.is_informed():
-            patience_s = call.patience_s or FIRST_NEWS_S
+            patience_s = call.timeout_s or FIRST_NEWS_S
             with trio.move_on_after(min(FIRST_NEWS_S, patience_s / 3)):
                 await node.wait_informed()
         return node.force.catalog
@@ -235,7 +235,7 @@
     def _customer(
         self, found: catalog.Catalog, route: catalog.Route, call: calls.Call
     ) -> catalog.Customer | None:
-        customer = found.customers.get(call.key) if call.key else None
+        customer = found.customers.get(call.api_key) if call.api_key else None
         if customer is None and found.keyed and not route.public:
             raise errors.RequestError(401, 'unknown-key', 'unknown key')
         return customer
@@ -248,8 +248,8 @@
         customer: catalog.Customer | None,
     ) -> request_state.RequestState:
         limit_s = route.timeout_s
-        if call.patience_s is not None:
-            limit_s = min(limit_s, call.patience_s)
+        if call.timeout_s is not None:
+            limit_s = min(limit_s, call.timeout_s)
         return request_state.RequestState(
             self._node,
             self._exchange,
@@ -303,7 +303,7 @@
         request: request_state.RequestState,
         service: catalog.Service | None,
     ) -> None:
-        answer: forward.Answer | None
+        answer: forward.ReplicaResponse | None
         if request.route.kind is catalog.CallKind.STREAM:
             engine = service.engine if service else None
             answer = await streaming.Streaming(request, engine).serve()
--- a/gentianstair/gateway/plain.py
+++ b/gentianstair/gateway/plain.py
@@ -13,7 +13,9 @@
 SILENCE_OBJECTIVES = 3.0
 
 
-async def serve(request: request_state.RequestState) -> forward.Answer:
+async def serve(
+    request: request_state.RequestState,
+) -> forward.ReplicaResponse:
     """Return a replica's answer; raise RequestError if there is none."""
     while True:
         replica = request.node.placement.plain(request.candidates())
@@ -46,13 +48,13 @@
 
 async def _try(
     request: request_state.RequestState, replica: replicas.Replica
-) -> forward.Answer:
+) -> forward.ReplicaResponse:
     """Return the answer of one replica; raise UpstreamError without one."""
     node = request.node
     sent = node.work.begin(replica.name)
     try:
         with trio.move_on_after(_limit_s(request)):
-            answer = await forward.ask(
+            answer = await forward.fetch_response(
                 node, request.call, request.make_attempt(replica)
             )
             if answer.verdict is verdicts.Verdict.RAN:
@@ -66,8 +68,8 @@
 
 
 def _checked(
-    request: request_state.RequestState, answer: forward.Answer
-) -> forward.Answer:
+    request: request_state.RequestState, answer: forward.ReplicaResponse
+) -> forward.ReplicaResponse:
     """Return an answer that may go on to the caller at once."""
     if answer.verdict is verdicts.Verdict.NOT_RUN:
         raise errors.TurnedAwayError(
--- a/gentianstair/gateway/prompt_read.py
+++ b/gentianstair/gateway/prompt_read.py
@@ -77,13 +77,13 @@
         )
         sending = request.make_attempt(
             reader,
-            reads_only=True,
-            copy_from=plan.copy.address,
-            urgency=urgency,
+            prefill_only=True,
+            kv_copy_address=plan.copy.address,
+            priority=urgency,
         )
         answer = None
         try:
-            answer = await forward.ask(node, request.call, sending)
+            answer = await forward.fetch_response(node, request.call, sending)
             source = wire.decode_handle(
                 reader.address, answer.status, answer.body
             )
@@ -155,7 +155,7 @@
 
 
 def _failure(
-    error: errors.UpstreamError, answer: forward.Answer | None
+    error: errors.UpstreamError, answer: forward.ReplicaResponse | None
 ) -> errors.UpstreamError:
     """Return what the failure of a read means for its request."""
     if isinstance(error, errors.UnreachableError):
--- a/gentianstair/gateway/request_state.py
+++ b/gentianstair/gateway/request_state.py
@@ -65,7 +65,7 @@
         self.possible_runs = 0
         self.tried_replicas: set[str] = set()
         # The newest failure that a replica itself answered with.
-        self.failure_response: forward.Answer | None = None
+        self.failure_response: forward.ReplicaResponse | None = None
 
     @property
     def customer_name(self) -> str | None:
@@ -85,9 +85,9 @@
 
     def make_attempt(
         self, replica: replicas.Replica, **more: typing.Any
-    ) -> calls.Sending:
+    ) -> calls.Attempt:
         """Return this call as it goes to a replica now."""
-        return calls.Sending(
+        return calls.Attempt(
             replica, self.customer_name, self.remaining_s(), self.body, **more
         )
 
--- a/gentianstair/gateway/streaming.py
+++ b/gentianstair/gateway/streaming.py
@@ -31,10 +31,10 @@
 LEAST_SILENCE_S = 1.2
 # A plan may be wrong by half; beyond that there is no hope.
 HOPELESS_TIMES = 1.5
-LEAST_URGENT = 9
+LOWEST_PRIORITY = 9
 # Replicas rank requests from 0; requests with a rank of their own begin here
 # and leave room above for streams that go on after a loss.
-FIRST_URGENCY = 2
+FIRST_ATTEMPT_PRIORITY = 2
 # The engines' defaults when a service of streams says nothing of them.
 ENGINE = catalog.Engine(64, 100000, 16384, 100000.0, 5.0, 3.0, ())
 
@@ -56,9 +56,9 @@
             request, self._prompt, self._engine
         )
         # Passed through when a replica itself refuses or fails.
-        self.answer: forward.Answer | None = None
+        self.answer: forward.ReplicaResponse | None = None
 
-    async def serve(self) -> forward.Answer | None:
+    async def serve(self) -> forward.ReplicaResponse | None:
         """Stream to the caller; return an answer that is no stream.
 
         Raise RequestError when there is nothing to pass on.
@@ -128,7 +128,7 @@
     async def _run(self, plan: placement.Plan) -> None:
         if plan.reader is not None and self._read.source is None:
             if self._read.may_read():
-                await self._read.read(plan, self._urgency())
+                await self._read.read(plan, self._priority())
             else:
                 plan = self._without_reader(plan)
         source = self._read.source
@@ -166,10 +166,12 @@
             )
         return maker
 
-    def _urgency(self) -> int:
+    def _priority(self) -> int:
         if self._events.delivered:
             return 0
-        return min(LEAST_URGENT, FIRST_URGENCY + self._request.priority())
+        return min(
+            LOWEST_PRIORITY, FIRST_ATTEMPT_PRIORITY + self._request.priority()
+        )
 
     async def _make(
         self,
@@ -189,13 +191,13 @@
         sending = request.make_attempt(
             maker,
             kv_source=source,
-            copy_from=copy.address,
-            resume_after=self._resume_after(),
-            urgency=self._urgency(),
+            kv_copy_address=copy.address,
+            last_event_id=self._resume_event_id(),
+            priority=self._priority(),
         )
         reading = readings.Reading(request, self._prompt, maker, plan)
         try:
-            async with forward.open_answer(
+            async with forward.open_response(
                 node, request.call, sending
             ) as found:
                 await self._pass_on(found, reading)
@@ -208,8 +210,8 @@
             reading.done()
         request.record_success(maker, reading.first_s or started_s)
 
-    def _resume_after(self) -> str | None:
-        return self._events.last_id or self._request.call.resume_after
+    def _resume_event_id(self) -> str | None:
+        return self._events.last_id or self._request.call.last_event_id
 
     async def _pass_on(
         self, found: httpx.Response, reading: readings.Reading
@@ -258,7 +260,7 @@
         self, found: httpx.Response, verdict: verdicts.Verdict
     ) -> None:
         """Take an answer that is no stream."""
-        answer = await forward.read_answer(found)
+        answer = await forward.read_response(found)
         request = self._request
         if answer.status < 500 and verdict is verdicts.Verdict.RAN:
             request.record_verdict(verdict)
--- a/gentianstair/platform/wire.py
+++ b/gentianstair/platform/wire.py
@@ -143,9 +143,9 @@
             for name, value in headers
             if name not in HOP_BY_HOP and name not in OWN
         ],
-        key=_key(fields),
-        patience_s=_patience_s(fields),
-        resume_after=_text(fields, b'last-event-id'),
+        api_key=_key(fields),
+        timeout_s=_patience_s(fields),
+        last_event_id=_text(fields, b'last-event-id'),
         prompt=decode_prompt(
             _text(fields, b'x-model'),
             _text(fields, b'x-token-count'),
@@ -155,27 +155,27 @@
 
 
 def encode_sending(
-    call: calls.Call, sending: calls.Sending, connect_s: float
+    call: calls.Call, sending: calls.Attempt, connect_s: float
 ) -> httpx.Request:
     """Return the request as a replica gets it."""
     replica = sending.replica
-    left_ms = max(LEAST_LEFT_MS, int(sending.left_s * 1000))
+    left_ms = max(LEAST_LEFT_MS, int(sending.remaining_s * 1000))
     headers = list(call.headers)
     headers.append((b'x-expect-instance', replica.name.encode()))
     headers.append((b'x-request-deadline-ms', b'%d' % left_ms))
     if sending.customer is not None:
         headers.append((b'x-tenant', sending.customer.encode()))
-    if sending.resume_after is not None:
-        headers.append((b'last-event-id', sending.resume_after.encode()))
-    if sending.reads_only:
+    if sending.last_event_id is not None:
+        headers.append((b'last-event-id', sending.last_event_id.encode()))
+    if sending.prefill_only:
         headers.append((b'x-stage', READS_PROMPTS.encode()))
     if sending.kv_source is not None:
         source = f'{sending.kv_source.address}/{sending.kv_source.handle}'
         headers.append((b'x-kv-source', source.encode()))
-    if sending.copy_from is not None:
-        headers.append((b'kv-fetch', sending.copy_from.encode()))
-    if sending.urgency is not None:
-        urgency = min(LAST_URGENCY, sending.urgency)
+    if sending.kv_copy_address is not None:
+        headers.append((b'kv-fetch', sending.kv_copy_address.encode()))
+    if sending.priority is not None:
+        urgency = min(LAST_URGENCY, sending.priority)
         headers.append((b'x-request-priority', b'%d' % urgency))
     if sending.body or call.method in ('POST', 'PUT', 'PATCH'):
         headers.append((b'content-length', b'%d' % len(sending.body)))
