--- a/gentianstair/gateway/cache_watch.py
+++ b/gentianstair/gateway/cache_watch.py
@@ -71,7 +71,10 @@
         while True:
             try:
                 request = wire.cache_events_request(
-                    replica.address, since, POLL_TIMEOUT_S, forward.CONNECT_S
+                    replica.address,
+                    since,
+                    POLL_TIMEOUT_S,
+                    forward.CONNECT_TIMEOUT_S,
                 )
                 changes = wire.decode_cache_events(await _call(node, request))
                 if epoch is not None and changes.epoch != epoch:
@@ -121,7 +124,9 @@
     ).info('missed changes of a replica cache')
     if not lists_cache:
         return since
-    request = wire.cache_list_request(replica.address, forward.CONNECT_S)
+    request = wire.cache_list_request(
+        replica.address, forward.CONNECT_TIMEOUT_S
+    )
     listing = wire.decode_cache_list(await _call(node, request))
     _apply(node, replica, listing, to_hubs=True)
     return listing.next
--- a/gentianstair/gateway/remote_prefill.py
+++ b/gentianstair/gateway/remote_prefill.py
@@ -78,13 +78,13 @@
         )
         sending = request.make_attempt(
             replica,
-            reads_only=True,
-            copy_from=plan.copy.address,
-            urgency=urgency,
+            prefill_only=True,
+            kv_copy_address=plan.copy.address,
+            priority=urgency,
         )
         answer = None
         try:
-            answer = await forward.ask(node, request.call, sending)
+            answer = await forward.fetch_response(node, request.call, sending)
             source = wire.decode_handle(
                 replica.address, answer.status, answer.body
             )
@@ -155,7 +155,7 @@
 
 
 def _failure(
-    error: errors.UpstreamError, answer: forward.Answer | None
+    error: errors.UpstreamError, answer: forward.ReplicaResponse | None
 ) -> errors.UpstreamError:
     """Return the error of a request whose prefill failed."""
     if isinstance(error, errors.UnreachableError):
