--- a/gentianstair/gateway/deployment.py
+++ b/gentianstair/gateway/deployment.py
@@ -10,9 +10,9 @@
     grace_s: float
     config_apply_s: float
     config_stretch_s: float
-    repeat_ratio: float
-    repeat_window_s: float
-    repeat_allowance: float
+    retry_ratio: float
+    retry_window_s: float
+    retry_allowance: float
     orders_fenced: bool
     lease_s: float
     usage_window_s: float
@@ -47,8 +47,8 @@
     bounds: Bounds
 
 
-class Live:
+class LiveSettings:
     """The settings in force; a reload replaces them whole."""
 
-    def __init__(self, value: Deployment) -> None:
-        self.value = value
+    def __init__(self, current: Deployment) -> None:
+        self.current = current
--- a/gentianstair/gateway/environment.py
+++ b/gentianstair/gateway/environment.py
@@ -5,12 +5,12 @@
 
 from gentianstair import errors
 
-METRICS_VARIABLE = 'GENTIANSTAIR_METRICS_PORT'
+METRICS_PORT_VARIABLE = 'GENTIANSTAIR_METRICS_PORT'
 KEEP_ALIVE_VARIABLE = 'GENTIANSTAIR_KEEP_ALIVE_S'
-LONGEST_KEEP_ALIVE_S = 3600.0
+MAX_KEEP_ALIVE_S = 3600.0
 
 
-class Own(typing.NamedTuple):
+class EnvironmentSettings(typing.NamedTuple):
     """Settings of ours; None where the default holds."""
 
     # Metrics are served there, and not at all without it.
@@ -19,13 +19,13 @@
     keep_alive_s: float | None = None
 
 
-DEFAULTS = Own()
+DEFAULTS = EnvironmentSettings()
 
 
-def read(environ: collections.abc.Mapping[str, str]) -> Own:
+def read(environ: collections.abc.Mapping[str, str]) -> EnvironmentSettings:
     """Return the settings; raise SettingsError at a bad one."""
-    return Own(
-        _port(environ.get(METRICS_VARIABLE)),
+    return EnvironmentSettings(
+        _port(environ.get(METRICS_PORT_VARIABLE)),
         _keep_alive_s(environ.get(KEEP_ALIVE_VARIABLE)),
     )
 
@@ -34,7 +34,9 @@
     if text is None:
         return None
     if not text.isdigit() or not 0 < int(text) < 65536:
-        raise errors.SettingsError(f'{METRICS_VARIABLE}: {text!r} is no port')
+        raise errors.SettingsError(
+            f'{METRICS_PORT_VARIABLE}: {text!r} is no port'
+        )
     return int(text)
 
 
@@ -45,9 +47,9 @@
         value_s = float(text)
     except ValueError:
         value_s = 0.0
-    if not 0 < value_s <= LONGEST_KEEP_ALIVE_S:
+    if not 0 < value_s <= MAX_KEEP_ALIVE_S:
         raise errors.SettingsError(
             f'{KEEP_ALIVE_VARIABLE}: {text!r} is no time above 0 and up to '
-            f'{LONGEST_KEEP_ALIVE_S:g} s'
+            f'{MAX_KEEP_ALIVE_S:g} s'
         )
     return value_s
--- a/gentianstair/gateway/fleet.py
+++ b/gentianstair/gateway/fleet.py
@@ -51,7 +51,7 @@
             await trio.sleep(LOOK_S)
 
     async def _look(self, authority: lease.Authority) -> None:
-        found = self._node.force.catalog
+        found = self._node.active_config.catalog
         if found is None or self._touch.age_s > FRESH_S:
             return
         for service in found.services.values():
--- a/gentianstair/gateway/handler.py
+++ b/gentianstair/gateway/handler.py
@@ -53,7 +53,7 @@
         self._node = node
         self._exchange = exchange
         # At a planned stop callers are told not to come back on it.
-        exchange.closes = node.leaving.is_set
+        exchange.closes = node.draining.is_set
         self._arrived_s = node.clock()
         self._call: calls.Call | None = None
         self._request: request_state.RequestState | None = None
@@ -191,8 +191,8 @@
         )
         exchange.connection.request_id = call.request_id
         limits = (
-            node.force.catalog.limits
-            if node.force.catalog
+            node.active_config.catalog.limits
+            if node.active_config.catalog
             else (catalog.Limits())
         )
         # Read before any answer: a connection whose request was not read
@@ -226,11 +226,11 @@
         the first answers of the store take some hundredths.
         """
         node = self._node
-        if not node.is_informed():
+        if not node.is_synced():
             patience_s = call.timeout_s or FIRST_NEWS_S
             with trio.move_on_after(min(FIRST_NEWS_S, patience_s / 3)):
-                await node.wait_informed()
-        return node.force.catalog
+                await node.wait_synced()
+        return node.active_config.catalog
 
     def _customer(
         self, found: catalog.Catalog, route: catalog.Route, call: calls.Call
--- a/gentianstair/gateway/hub_link.py
+++ b/gentianstair/gateway/hub_link.py
@@ -27,7 +27,9 @@
         node = self._node
         self._leaf = told['process']
         node.roster.leaves[self._leaf] = self
-        node.work.tell(self._leaf, loads.decode(told['loads']), passed_on=True)
+        node.loads.tell(
+            self._leaf, loads.decode(told['loads']), passed_on=True
+        )
         node.cache_news.take(told.get('cache', ()), passed_on=True)
         return self._news(told['config_version'])
 
@@ -36,7 +38,7 @@
         leaves = self._node.roster.leaves
         if leaves.get(self._leaf) is self:
             del leaves[self._leaf]
-            self._node.work.forget(self._leaf)
+            self._node.loads.forget(self._leaf)
 
     def _news(self, known_version: int) -> messages.GatewayFeed:
         node = self._node
@@ -48,7 +50,7 @@
             'type': 'feed',
             'process': node.roster.process,
             'age_ms': int(self._touch.told_age_s * 1000),
-            'loads': loads.encode(node.work.without(self._leaf)),
+            'loads': loads.encode(node.loads.without(self._leaf)),
             'cache': [list(change) for _, change in cache],
             'replicas': replicas,
             'gone': gone,
@@ -57,7 +59,7 @@
             'hubs': [encode_hub(hub) for hub in node.roster.hubs()],
             'follow': node.roster.follows_of(self._leaf),
         }
-        force = node.force.catalog
+        force = node.active_config.catalog
         if force is not None and force.version > known_version:
             feed['config'] = force.raw
         return feed
--- a/gentianstair/gateway/leaf_link.py
+++ b/gentianstair/gateway/leaf_link.py
@@ -123,11 +123,11 @@
                 await trio.sleep(ASK_S)
             return ''
         finally:
-            node.work.forget(process)
+            node.loads.forget(process)
 
     def _word(self, told_at: int) -> messages.GatewayLoad:
         node = self._node
-        return load_message(node, node.work.own(), told_at, leaf=True)
+        return load_message(node, node.loads.own(), told_at, leaf=True)
 
     async def _hear(
         self, channel: link.Channel
@@ -149,12 +149,12 @@
         if 'config' in feed:
             knowledge.take_config(feed['config'])
         age_s = feed['age_ms'] / 1000
-        node.work.tell(feed['process'], loads.decode(feed['loads']))
+        node.loads.tell(feed['process'], loads.decode(feed['loads']))
         node.cache_news.take(feed['cache'], passed_on=False)
         if age_s <= max(OLD_S, knowledge.touch.age_s):
             self._take_replicas(feed)
             knowledge.touch.heard(age_s)
-        if age_s <= OLD_S and node.is_informed():
+        if age_s <= OLD_S and node.is_synced():
             node.roster.tell(
                 rosters.Told(
                     node.clock(),
@@ -188,7 +188,7 @@
     leaf: bool,
 ) -> messages.GatewayLoad:
     """Return what a VM tells of its load, and of caches since told_at."""
-    force = node.force.catalog
+    force = node.active_config.catalog
     cache = node.cache_news.mine.since(told_at)
     return {
         'version': link.VERSION,
--- a/gentianstair/gateway/links.py
+++ b/gentianstair/gateway/links.py
@@ -132,7 +132,7 @@
         while True:
             news = node.cache_news.mine
             message = leaf_link.load_message(
-                node, node.work.part(), told_at, leaf=False
+                node, node.loads.part(), told_at, leaf=False
             )
             told_at = news.position
             await _send(channel, message)
@@ -140,7 +140,7 @@
             pause_s = TELL_S * max(1.0, crowd)
             await trio.sleep(pause_s * LEAST_PAUSE_SHARE)
             with trio.move_on_after(pause_s * (1 - LEAST_PAUSE_SHARE)):
-                await node.work.wait_long()
+                await node.loads.wait_long()
 
     async def _accept(self, channel: link.Channel) -> None:
         """Serve a link that a peer opened."""
@@ -193,7 +193,7 @@
 
     def _take_load(self, message: messages.GatewayLoad) -> None:
         found = loads.decode(message['loads'])
-        self._node.work.tell(message['process'], found)
+        self._node.loads.tell(message['process'], found)
         self._node.cache_news.take(message.get('cache', ()), passed_on=False)
         self._heard.add(message['address'])
         self._newest_version = max(
@@ -209,7 +209,7 @@
             'replicas': [list(r) for r in node.registry.all()],
             'addresses': sorted(self._heard),
         }
-        force = node.force.catalog
+        force = node.active_config.catalog
         if force is not None and force.version > known_version:
             news['config'] = force.raw
         return news
@@ -232,7 +232,7 @@
         self._node.registry.replace(known, after_outage=False)
 
     def _behind(self) -> bool:
-        force = self._node.force.catalog
+        force = self._node.active_config.catalog
         return (force.version if force else 0) < self._newest_version
 
     async def _ask_when_away(self) -> None:
@@ -245,7 +245,7 @@
             if not self._open or not (self._away() or self._behind()):
                 continue
             address = self._random.choice(sorted(self._open))
-            force = self._node.force.catalog
+            force = self._node.active_config.catalog
             ask: messages.GatewayAsk = {
                 'version': link.VERSION,
                 'type': 'ask_news',
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -57,22 +57,22 @@
 
 # The balancer asks each second and needs two refusals; until then it sends
 # new connections here.
-LEAVE_S = 2.6
+BALANCER_DRAIN_S = 2.6
 # Left of the grace for the last writes.
-LAST_WRITES_S = 1.0
+FINAL_WRITES_S = 1.0
 # Share of a short grace in which requests may end, whatever that leaves.
-ANSWERED_SHARE = 0.85
+REQUEST_GRACE_SHARE = 0.85
 # Connections to replicas are kept for less than any of them keeps an idle
 # one that it says nothing about.
-REPLICA_IDLE_S = 1.0
+REPLICA_IDLE_TIMEOUT_S = 1.0
 READY_GRACE_S = 0.1
 # Pause before background work that failed is begun anew.
-FAULT_PAUSE_S = 1.0
+FAULT_BACKOFF_S = 1.0
 # Longest wait for the log's reader before the process ends by itself.
-LAST_LINE_S = 0.5
+LAST_LINE_TIMEOUT_S = 0.5
 
 
-class Process(typing.NamedTuple):
+class ProcessParts(typing.NamedTuple):
     """The parts of one process, none of them running yet."""
 
     node: nodes.Node
@@ -83,9 +83,11 @@
     touch: following.Touch
 
 
-def make_process(live: deployment.Live, nursery: trio.Nursery) -> Process:
+def make_process_parts(
+    live: deployment.LiveSettings, nursery: trio.Nursery
+) -> ProcessParts:
     """Return the parts of a process for a deployment."""
-    found = live.value
+    found = live.current
     now = clock.boottime_s
     store = objects.connect(found.store_address, found.vm)
     bounds = found.bounds
@@ -119,20 +121,20 @@
         wall,
     )
     fleet = fleets.Fleet(node, platform, touch)
-    return Process(node, members, leases, reporter, fleet, touch)
+    return ProcessParts(node, members, leases, reporter, fleet, touch)
 
 
-def _repeat_terms(live: deployment.Live) -> repeats.Terms:
-    bounds = live.value.bounds
+def _repeat_terms(live: deployment.LiveSettings) -> repeats.Terms:
+    bounds = live.current.bounds
     return repeats.Terms(
-        bounds.repeat_ratio,
-        bounds.repeat_allowance,
-        bounds.repeat_window_s,
+        bounds.retry_ratio,
+        bounds.retry_allowance,
+        bounds.retry_window_s,
     )
 
 
 def _make_node(
-    live: deployment.Live,
+    live: deployment.LiveSettings,
     store: objects.ObjectStore,
     counts: usage.Counts,
     members: memberships.Members,
@@ -140,21 +142,21 @@
     nursery: trio.Nursery,
 ) -> nodes.Node:
     now = clock.boottime_s
-    found = live.value
+    found = live.current
     work = loads.Loads(now)
     cache = prefix_cache.PrefixCache()
     registry = replicas.Registry(now)
-    own = hubs.Vm(
+    own_vm = hubs.Vm(
         found.vm, found.failure_domain, found.peer_address, found.cores
     )
-    roster = rosters.Roster(own, members, registry, now)
+    roster = rosters.Roster(own_vm, members, registry, now)
     return nodes.Node(
-        live=live,
+        live_settings=live,
         clock=now,
         started_s=now(),
-        force=nodes.Force(),
+        active_config=nodes.ActiveConfig(),
         registry=registry,
-        work=work,
+        loads=work,
         cache=cache,
         cache_news=cache_news.CacheNews(cache),
         roster=roster,
@@ -173,17 +175,17 @@
             restarted=not found.whole_system_starts,
         ),
         ejector=ejection.Ejector(),
-        transport=transport.make_transport(idle_s=REPLICA_IDLE_S),
+        transport=transport.make_transport(idle_s=REPLICA_IDLE_TIMEOUT_S),
         store=store,
         usage=counts,
-        leaving=trio.Event(),
+        draining=trio.Event(),
         grace=grace.Grace(),
         nursery=nursery,
     )
 
 
 def _take_catalog(node: nodes.Node, found: catalog.Catalog) -> None:
-    if node.force.take(found):
+    if node.active_config.apply(found):
         node.registry.cache_calls = min(
             (
                 s.engine.cache_calls
@@ -197,7 +199,7 @@
         )
 
 
-def _sources(process: Process) -> list[following.Source]:
+def _sources(process: ProcessParts) -> list[following.Source]:
     node = process.node
     return [
         following.config_source(
@@ -213,7 +215,7 @@
 
 
 def _background(
-    process: Process,
+    process: ProcessParts,
 ) -> list[collections.abc.Callable[[], collections.abc.Awaitable[None]]]:
     """Return what a process does beside the requests and the duties."""
     node = process.node
@@ -237,7 +239,7 @@
     ]
 
 
-async def contain(
+async def restart_on_fault(
     work: collections.abc.Callable[[], collections.abc.Awaitable[None]],
 ) -> None:
     """Do work beside the requests; a fault in it ends nothing else.
@@ -254,16 +256,20 @@
             loguru.logger.bind(event=events.FAULT).exception(
                 'background work failed'
             )
-        await trio.sleep(FAULT_PAUSE_S)
+        await trio.sleep(FAULT_BACKOFF_S)
 
 
-async def _do_duties(process: Process, authority: lease.Authority) -> None:
+async def _do_duties(
+    process: ProcessParts, authority: lease.Authority
+) -> None:
     async with trio.open_nursery() as nursery:
         for duty in (process.reporter.run, process.fleet.run):
-            nursery.start_soon(contain, functools.partial(duty, authority))
+            nursery.start_soon(
+                restart_on_fault, functools.partial(duty, authority)
+            )
 
 
-async def _hold_duties(process: Process) -> None:
+async def _hold_duties(process: ProcessParts) -> None:
     """Compete for the lease, and do the duties while it is held."""
     found = process.node.deployment
     if not found.whole_system_starts:
@@ -288,23 +294,23 @@
             await trio.sleep(duties.LOOK_S)
 
 
-def answered_s(grace_s: float) -> float:
+def request_grace_s(grace_s: float) -> float:
     """Return how long after a stop is asked for requests may end.
 
     Replicas that are at work in the last sixth of the grace are given up.
     """
-    left_s = grace.LAST_ANSWERS_S + LAST_WRITES_S
-    return max(ANSWERED_SHARE * grace_s, grace_s - left_s)
+    left_s = grace.LAST_ANSWERS_S + FINAL_WRITES_S
+    return max(REQUEST_GRACE_SHARE * grace_s, grace_s - left_s)
 
 
-def served_s(grace_s: float) -> float:
+def connection_grace_s(grace_s: float) -> float:
     """Return how long after a stop is asked for connections may last."""
-    return min(answered_s(grace_s) + grace.LAST_ANSWERS_S, grace_s)
+    return min(request_grace_s(grace_s) + grace.LAST_ANSWERS_S, grace_s)
 
 
 def _idle_limit_s(node: nodes.Node) -> float:
     """Return how long callers may leave a connection idle and reuse it."""
-    found = node.force.catalog
+    found = node.active_config.catalog
     return found.limits.idle_s if found else 0.0
 
 
@@ -312,29 +318,29 @@
     """Return when callers have been told to go elsewhere."""
     await asked.wait()
     loguru.logger.bind(event=events.STOPPING).info('stopping')
-    node.leaving.set()
-    node.grace.end_in(answered_s(node.deployment.bounds.grace_s))
-    await trio.sleep(LEAVE_S)
+    node.draining.set()
+    node.grace.end_in(request_grace_s(node.deployment.bounds.grace_s))
+    await trio.sleep(BALANCER_DRAIN_S)
 
 
 async def run(
     file: pathlib.Path,
     found: deployment.Deployment,
-    own: environment.Own = environment.DEFAULTS,
+    env_settings: environment.EnvironmentSettings = environment.DEFAULTS,
 ) -> None:
     """Serve until stopped, then let running requests end."""
     asked = serving.catch_stop()
-    live = deployment.Live(found)
+    live = deployment.LiveSettings(found)
     callers = serving.listen(found.callers_address)
     ready_sock = serving.listen(found.ready_address)
     async with trio.open_nursery() as nursery:
-        process = make_process(live, nursery)
+        process = make_process_parts(live, nursery)
         node = process.node
         reloader = reload.Reloader(file, live, settings.read)
         nursery.start_soon(reloader.run)
         apps = [(ready.make_app(node), ready_sock)]
-        if own.metrics_port is not None:
-            sock = serving.listen(f'{found.ip}:{own.metrics_port}')
+        if env_settings.metrics_port is not None:
+            sock = serving.listen(f'{found.ip}:{env_settings.metrics_port}')
             apps.append((ready.make_metrics_app(), sock))
         for app, sock in apps:
             nursery.start_soon(
@@ -343,7 +349,7 @@
                 )
             )
         for work in _background(process):
-            nursery.start_soon(contain, work)
+            nursery.start_soon(restart_on_fault, work)
         async with trio.open_nursery() as duty_nursery:
             duty_nursery.start_soon(_hold_duties, process)
             loguru.logger.bind(event=events.STARTED).info('serving')
@@ -351,12 +357,12 @@
                 handler.make_app(node),
                 callers,
                 functools.partial(_leave, node, asked),
-                served_s(found.bounds.grace_s) - LEAVE_S,
-                keep_alive_s=own.keep_alive_s,
+                connection_grace_s(found.bounds.grace_s) - BALANCER_DRAIN_S,
+                keep_alive_s=env_settings.keep_alive_s,
                 least_keep_alive_s=functools.partial(_idle_limit_s, node),
             )
             duty_nursery.cancel_scope.cancel()
-        with trio.move_on_after(LAST_WRITES_S / 2):
+        with trio.move_on_after(FINAL_WRITES_S / 2):
             await process.members.beat()
         loguru.logger.bind(event=events.STOPPED).info('stopped')
         nursery.cancel_scope.cancel()
@@ -368,21 +374,23 @@
     return [leaf for part in error.exceptions for leaf in _leaves(part)]
 
 
-def tell_end(error: Exception, writer: line_writer.LineWriter) -> None:
+def log_unexpected_exit(
+    error: Exception, writer: line_writer.LineWriter
+) -> None:
     """Log why the process ends by itself, and see the line out.
 
     The lines of the requests that are cut come just before, and may have
     used up the rate and filled the buffer.
     """
     why = '; '.join(f'{type(e).__name__}: {e}' for e in _leaves(error))
-    writer.drain(LAST_LINE_S)
+    writer.drain(LAST_LINE_TIMEOUT_S)
     writer.admit_last()
     loguru.logger.opt(exception=error).bind(
         event=events.ENDED,
         error=why,
         requests_cut=connections.requests_cut(connections.End.PROCESS_ENDED),
     ).critical('the process ends by itself')
-    writer.drain(LAST_LINE_S)
+    writer.drain(LAST_LINE_TIMEOUT_S)
 
 
 def _run(file: pathlib.Path, found: deployment.Deployment) -> None:
@@ -393,7 +401,7 @@
     except errors.UserError:
         raise
     except Exception as error:
-        tell_end(error, writer)
+        log_unexpected_exit(error, writer)
         sys.exit(1)
 
 
--- a/gentianstair/gateway/node.py
+++ b/gentianstair/gateway/node.py
@@ -22,32 +22,32 @@
 from gentianstair.util import clock as clocks
 
 
-class Force:
+class ActiveConfig:
     """The configuration in force; it only ever gets newer."""
 
     def __init__(self) -> None:
         self.catalog: catalog.Catalog | None = None
         # Set when there is one.
-        self.known = trio.Event()
+        self.loaded = trio.Event()
 
-    def take(self, found: catalog.Catalog) -> bool:
+    def apply(self, found: catalog.Catalog) -> bool:
         """Put a catalog in force; say whether it is newer."""
         if self.catalog and found.version <= self.catalog.version:
             return False
         self.catalog = found
-        self.known.set()
+        self.loaded.set()
         return True
 
 
 class Node(typing.NamedTuple):
     """What the tasks of a process work with."""
 
-    live: deployment.Live
+    live_settings: deployment.LiveSettings
     clock: clocks.Clock
     started_s: float
-    force: Force
+    active_config: ActiveConfig
     registry: replicas.Registry
-    work: loads.Loads
+    loads: loads.Loads
     cache: prefix_cache.PrefixCache
     cache_news: cache_news.CacheNews
     roster: roster.Roster
@@ -59,21 +59,23 @@
     store: stores.Store
     usage: usage.Counts
     # Set at a planned stop: answers close their connections.
-    leaving: trio.Event
+    draining: trio.Event
     grace: grace.Grace
     # Runs what must outlive a request, such as freeing a KV cache.
     nursery: trio.Nursery
 
-    def is_informed(self) -> bool:
+    def is_synced(self) -> bool:
         """Return whether configuration and replicas have been read."""
-        return self.force.known.is_set() and self.registry.known.is_set()
+        return (
+            self.active_config.loaded.is_set() and self.registry.known.is_set()
+        )
 
-    async def wait_informed(self) -> None:
+    async def wait_synced(self) -> None:
         """Return when configuration and replicas have been read."""
-        await self.force.known.wait()
+        await self.active_config.loaded.wait()
         await self.registry.known.wait()
 
     @property
     def deployment(self) -> deployment.Deployment:
         """Return the settings in force."""
-        return self.live.value
+        return self.live_settings.current
--- a/gentianstair/gateway/plain.py
+++ b/gentianstair/gateway/plain.py
@@ -51,7 +51,7 @@
 ) -> forward.ReplicaResponse:
     """Return the answer of one replica; raise UpstreamError without one."""
     node = request.node
-    sent = node.work.begin(replica.name)
+    sent = node.loads.begin(replica.name)
     try:
         with trio.move_on_after(_limit_s(request)):
             answer = await forward.fetch_response(
@@ -61,7 +61,7 @@
                 node.usage.began(request.customer_name)
             return _checked(request, answer)
     finally:
-        node.work.end(sent)
+        node.loads.end(sent)
     raise errors.UpstreamError(
         'no answer in time', verdicts.Verdict.MAY_HAVE_RUN
     )
--- a/gentianstair/gateway/prompt_read.py
+++ b/gentianstair/gateway/prompt_read.py
@@ -66,7 +66,7 @@
         assert reader is not None
         request, node = self._request, self._node
         started_s = node.clock()
-        sent = node.work.begin(
+        sent = node.loads.begin(
             reader.name,
             plan.work_s,
             started_s + plan.read_s,
@@ -93,7 +93,7 @@
             self._failed(reader, failure, started_s)
             raise failure from error
         finally:
-            node.work.end(sent)
+            node.loads.end(sent)
         self._reads += 1
         self._kept = _Kept(source, reader.name)
         took_s = node.clock() - started_s
--- a/gentianstair/gateway/reading.py
+++ b/gentianstair/gateway/reading.py
@@ -59,7 +59,7 @@
         work_s = plan.work_s if plan else 0.0
         more_s = plan.more_s if plan else 0.0
         ends_s = self._started_s + (plan.read_s if plan else 0.0)
-        self._sent = node.work.begin(maker.name, work_s, ends_s, more_s)
+        self._sent = node.loads.begin(maker.name, work_s, ends_s, more_s)
         self.first_s: float | None = None
 
     def first(self) -> bool:
@@ -88,4 +88,4 @@
 
     def done(self) -> None:
         """Count the run as over."""
-        self._request.node.work.end(self._sent)
+        self._request.node.loads.end(self._sent)
--- a/gentianstair/gateway/ready.py
+++ b/gentianstair/gateway/ready.py
@@ -16,9 +16,9 @@
 
 def not_ready_reason(node: nodes.Node) -> str | None:
     """Return why callers should not be sent here, or None."""
-    if node.leaving.is_set():
+    if node.draining.is_set():
         return 'leaving'
-    if not node.is_informed():
+    if not node.is_synced():
         return 'configuration and replicas are not known yet'
     return None
 
--- a/gentianstair/platform/settings.py
+++ b/gentianstair/platform/settings.py
@@ -74,10 +74,10 @@
         # How much longer a configuration may take when the store refuses
         # this VM; the file speaks of stretching the bound above.
         config_stretch_s=table.number('max_stretch_ms') / 1000,
-        repeat_ratio=table.number('budget_ratio'),
-        repeat_window_s=table.number('budget_window_s'),
+        retry_ratio=table.number('budget_ratio'),
+        retry_window_s=table.number('budget_window_s'),
         # Repeats of the whole fleet that are free in each window.
-        repeat_allowance=table.number('retry_slack'),
+        retry_allowance=table.number('retry_slack'),
         orders_fenced=table.flag('fencing_enforced'),
         lease_s=table.number('lease_ms') / 1000,
         usage_window_s=table.number('usage_window_s'),
--- a/standins/soak/crossing.py
+++ b/standins/soak/crossing.py
@@ -102,7 +102,7 @@
         while close is Close.STOP and self._stopped_s is None:
             await trio.sleep(0.01)
         if self._stopped_s is not None:
-            closes_s = self._stopped_s + gateways.LEAVE_S
+            closes_s = self._stopped_s + gateways.BALANCER_DRAIN_S
         around_s = EARLY_S if number % EARLY_EACH == 0 else kept.AROUND_CLOSE_S
         await trio.sleep_until(closes_s + chance.uniform(*around_s))
         request_id = f'c{self._seed:03x}{number:04x}'
--- a/standins/soak/kept.py
+++ b/standins/soak/kept.py
@@ -199,5 +199,5 @@
         """Return when the gateway should close an idle connection."""
         stopped_s = self._stopped_s.get(connection.vm, float('-inf'))
         if stopped_s > connection.opened_s:
-            return stopped_s + gateways.LEAVE_S
+            return stopped_s + gateways.BALANCER_DRAIN_S
         return connection.last_s + self._gateway.keep_alive_s
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -135,7 +135,7 @@
         breaks_s = now_s
         if planned:
             self.stopped_s[gateway.vm] = now_s
-            breaks_s += gateways.served_s(processes.GRACE_S)
+            breaks_s += gateways.connection_grace_s(processes.GRACE_S)
         gateway.signal(signal.SIGTERM if gentle else signal.SIGKILL)
         # One that is paused at this moment must be able to end.
         gateway.signal(signal.SIGCONT)
--- a/test/gateway/test_background.py
+++ b/test/gateway/test_background.py
@@ -21,9 +21,9 @@
             raise OSError('unforeseen')
 
     with trio.fail_after(60):
-        await main.contain(work)
+        await main.restart_on_fault(work)
     assert len(begun) == 3
-    assert begun[2] - begun[0] == pytest.approx(2 * main.FAULT_PAUSE_S)
+    assert begun[2] - begun[0] == pytest.approx(2 * main.FAULT_BACKOFF_S)
 
 
 async def test_lost_authority_ends_a_duty(autojump_clock):
@@ -31,4 +31,4 @@
         raise errors.LeaseLostError('lapsed')
 
     with pytest.raises(errors.LeaseLostError):
-        await main.contain(work)
+        await main.restart_on_fault(work)
--- a/test/gateway/test_cut_connections.py
+++ b/test/gateway/test_cut_connections.py
@@ -162,7 +162,7 @@
     # Guards against a close of our own that is logged as a caller's going.
     stop = trio.Event()
     monkeypatch.setattr(serving, 'catch_stop', lambda: stop)
-    monkeypatch.setattr(main, 'LEAVE_S', 0.0)
+    monkeypatch.setattr(main, 'BALANCER_DRAIN_S', 0.0)
     # A request that is not told of the stop, or its answer would come first.
     monkeypatch.setattr(grace.Grace, 'end_in', lambda *_: None)
     async with sites.running() as site:
--- a/test/gateway/test_environment.py
+++ b/test/gateway/test_environment.py
@@ -5,7 +5,7 @@
 from gentianstair import errors
 from gentianstair.gateway import environment
 
-PORT = environment.METRICS_VARIABLE
+PORT = environment.METRICS_PORT_VARIABLE
 KEEP_ALIVE = environment.KEEP_ALIVE_VARIABLE
 
 
--- a/test/gateway/test_hub_link.py
+++ b/test/gateway/test_hub_link.py
@@ -33,10 +33,10 @@
     roster.follows_of = lambda process: []
     return types.SimpleNamespace(
         roster=roster,
-        work=loads.Loads(clock),
+        loads=loads.Loads(clock),
         cache_news=cache_news.CacheNews(prefix_cache.PrefixCache()),
         registry=registry,
-        force=types.SimpleNamespace(catalog=None),
+        active_config=types.SimpleNamespace(catalog=None),
     )
 
 
@@ -48,8 +48,8 @@
     first.answer(WORD)
     second.answer(WORD)
     first.end()
-    assert node.work.at('i-1').running == 3
+    assert node.loads.at('i-1').running == 3
     assert LEAF in node.roster.leaves
     second.end()
-    assert node.work.at('i-1').running == 0
+    assert node.loads.at('i-1').running == 0
     assert LEAF not in node.roster.leaves
--- a/test/gateway/test_kept_connections.py
+++ b/test/gateway/test_kept_connections.py
@@ -105,7 +105,7 @@
 ):
     stop = trio.Event()
     monkeypatch.setattr(serving, 'catch_stop', lambda: stop)
-    monkeypatch.setattr(main, 'LEAVE_S', 0.0)
+    monkeypatch.setattr(main, 'BALANCER_DRAIN_S', 0.0)
     play = Play(monkeypatch)
     names = [f'turn-{turn}' for turn in range(TURNS)]
     async with sites.running() as site:
--- a/test/gateway/test_planned_stop.py
+++ b/test/gateway/test_planned_stop.py
@@ -17,16 +17,16 @@
 def stop(monkeypatch):
     found = trio.Event()
     monkeypatch.setattr(serving, 'catch_stop', lambda: found)
-    monkeypatch.setattr(main, 'LEAVE_S', 0.2)
+    monkeypatch.setattr(main, 'BALANCER_DRAIN_S', 0.2)
     return found
 
 
 @pytest.mark.parametrize('grace_s', [3.0, 4.0, 6.0, 7.4, 8.0, 30.0])
 def test_no_request_is_given_up_before_the_last_sixth_of_the_grace(grace_s):
     # With a short grace what a replica was at work on was cut too early.
-    answered_s = main.answered_s(grace_s)
+    answered_s = main.request_grace_s(grace_s)
     assert answered_s > grace_s * 5 / 6
-    assert answered_s < main.served_s(grace_s) < grace_s
+    assert answered_s < main.connection_grace_s(grace_s) < grace_s
 
 
 @pytest.mark.parametrize(
@@ -77,7 +77,9 @@
     tmp_path, stop, stopping, status, monkeypatch
 ):
     # It waited for the end of the grace, though another VM had the time.
-    monkeypatch.setattr(main, 'LEAVE_S', main.answered_s(GRACE_S))
+    monkeypatch.setattr(
+        main, 'BALANCER_DRAIN_S', main.request_grace_s(GRACE_S)
+    )
     more = {**gateways.PROMPT, 'x-token-count': '30000,80'}
     async with sites.running() as site:
         async with gateways.running(site, tmp_path, grace_s=GRACE_S) as (
@@ -85,7 +87,7 @@
         ):
             if stopping:
                 stop.set()
-                await trio.sleep(main.answered_s(GRACE_S) - SHORT_S)
+                await trio.sleep(main.request_grace_s(GRACE_S) - SHORT_S)
             started_s = trio.current_time()
             answer = await gateway.call('POST', '/ask/rule', 'r1', **more)
             took_s = trio.current_time() - started_s
--- a/test/gateway/test_reload.py
+++ b/test/gateway/test_reload.py
@@ -32,11 +32,11 @@
 def test_a_changed_file(tmp_path, text, ratio):
     file = tmp_path / 'settings.toml'
     file.write_text(samples.settings())
-    live = deployment.Live(read(file))
+    live = deployment.LiveSettings(read(file))
     reloader = reload.Reloader(file, live, read)
     file.write_text(text)
-    reloader.look()
-    assert live.value.bounds.repeat_ratio == ratio
+    reloader.check()
+    assert live.current.bounds.retry_ratio == ratio
 
 
 async def test_a_signal_reads_at_once(tmp_path):
@@ -47,7 +47,7 @@
     """
     file = tmp_path / 'settings.toml'
     file.write_text(samples.settings())
-    live = deployment.Live(read(file))
+    live = deployment.LiveSettings(read(file))
     reloader = reload.Reloader(file, live, read)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(reloader.run)
@@ -55,7 +55,7 @@
         file.write_text(samples.settings(budget_ratio=0.4))
         os.kill(os.getpid(), signal.SIGHUP)
         with trio.fail_after(1):
-            while live.value.bounds.repeat_ratio != 0.4:
+            while live.current.bounds.retry_ratio != 0.4:
                 await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
 
