--- a/gentianstair/gateway/autoscaler.py
+++ b/gentianstair/gateway/autoscaler.py
@@ -53,7 +53,7 @@
             await trio.sleep(CHECK_INTERVAL_S)
 
     async def _scale_all(self, authority: lease.Authority) -> None:
-        current = self._node.force.catalog
+        current = self._node.active_config.catalog
         if current is None or self._store_health.age_s > MAX_VIEW_AGE_S:
             return
         for service in current.services.values():
--- a/gentianstair/gateway/hub_client.py
+++ b/gentianstair/gateway/hub_client.py
@@ -132,12 +132,12 @@
                 await trio.sleep(REPORT_INTERVAL_S)
             return ''
         finally:
-            node.work.remove_peer(process)
+            node.loads.remove_peer(process)
 
     def _make_report(self, sent_position: int) -> messages.GatewayLoad:
         node = self._node
         return load_message(
-            node, node.work.local(), sent_position, is_leaf=True
+            node, node.loads.local(), sent_position, is_leaf=True
         )
 
     async def _receive_feed(
@@ -160,14 +160,14 @@
         if 'config' in feed:
             updates.apply_config(feed['config'])
         age_s = feed['age_ms'] / 1000
-        node.work.update_peer(
+        node.loads.update_peer(
             feed['process'], replica_load.decode(feed['loads'])
         )
         node.cache_news.apply_rows(feed['cache'], to_hubs=False)
         if age_s <= max(MAX_STORE_AGE_S, updates.store_health.age_s):
             self._apply_replicas(feed)
             updates.store_health.record_hub_answer(age_s)
-        if age_s <= MAX_STORE_AGE_S and node.is_informed():
+        if age_s <= MAX_STORE_AGE_S and node.is_synced():
             node.roster.set_hub_feed(
                 rosters.HubFeed(
                     node.clock(),
@@ -203,7 +203,7 @@
     is_leaf: bool,
 ) -> messages.GatewayLoad:
     """Return a VM's load report, with cache changes since sent_position."""
-    current = node.force.catalog
+    current = node.active_config.catalog
     cache_changes = node.cache_news.hub_log.since(sent_position)
     return {
         'version': link.VERSION,
--- a/gentianstair/gateway/leaf_feed.py
+++ b/gentianstair/gateway/leaf_feed.py
@@ -33,7 +33,7 @@
         node = self._node
         self._process = report['process']
         node.roster.leaves[self._process] = self
-        node.work.update_peer(
+        node.loads.update_peer(
             self._process, replica_load.decode(report['loads']), from_leaf=True
         )
         node.cache_news.apply_rows(report.get('cache', ()), to_hubs=True)
@@ -44,7 +44,7 @@
         leaves = self._node.roster.leaves
         if leaves.get(self._process) is self:
             del leaves[self._process]
-            self._node.work.remove_peer(self._process)
+            self._node.loads.remove_peer(self._process)
 
     def _make_feed(self, known_version: int) -> messages.GatewayFeed:
         node = self._node
@@ -56,7 +56,7 @@
             'type': 'feed',
             'process': node.roster.process_name,
             'age_ms': int(self._store_health.reported_age_s * 1000),
-            'loads': replica_load.encode(node.work.excluding(self._process)),
+            'loads': replica_load.encode(node.loads.excluding(self._process)),
             'cache': [list(change) for _, change in cache_changes],
             'replicas': replicas,
             'gone': gone,
@@ -65,7 +65,7 @@
             'hubs': [encode_hub(hub) for hub in node.roster.hubs()],
             'follow': node.roster.assigned_replicas(self._process),
         }
-        current = node.force.catalog
+        current = node.active_config.catalog
         if current is not None and current.version > known_version:
             feed['config'] = current.raw
         return feed
--- a/gentianstair/gateway/peer_links.py
+++ b/gentianstair/gateway/peer_links.py
@@ -138,7 +138,7 @@
         while True:
             cache_log = node.cache_news.hub_log
             message = hub_client.load_message(
-                node, node.work.subtree(), sent_position, is_leaf=False
+                node, node.loads.subtree(), sent_position, is_leaf=False
             )
             sent_position = cache_log.position
             await _send(channel, message)
@@ -146,7 +146,7 @@
             pause_s = LOAD_INTERVAL_S * max(1.0, slowdown)
             await trio.sleep(pause_s * MIN_PAUSE_SHARE)
             with trio.move_on_after(pause_s * (1 - MIN_PAUSE_SHARE)):
-                await node.work.wait_long_prefill()
+                await node.loads.wait_long_prefill()
 
     async def _accept(self, channel: link.Channel) -> None:
         """Serve a link that a peer opened, a hub or a leaf."""
@@ -199,7 +199,7 @@
 
     def _handle_load(self, message: messages.GatewayLoad) -> None:
         peer_loads = replica_load.decode(message['loads'])
-        self._node.work.update_peer(message['process'], peer_loads)
+        self._node.loads.update_peer(message['process'], peer_loads)
         self._node.cache_news.apply_rows(
             message.get('cache', ()), to_hubs=False
         )
@@ -217,7 +217,7 @@
             'replicas': [list(r) for r in node.registry.all()],
             'addresses': sorted(self._known_addresses),
         }
-        current = node.force.catalog
+        current = node.active_config.catalog
         if current is not None and current.version > known_version:
             news['config'] = current.raw
         return news
@@ -243,7 +243,7 @@
         self._node.registry.replace(known, after_outage=False)
 
     def _config_is_behind(self) -> bool:
-        current = self._node.force.catalog
+        current = self._node.active_config.catalog
         return (current.version if current else 0) < self._newest_version
 
     async def _query_peers(self) -> None:
@@ -259,7 +259,7 @@
             ):
                 continue
             address = self._rng.choice(sorted(self._open))
-            current = self._node.force.catalog
+            current = self._node.active_config.catalog
             query: messages.GatewayAsk = {
                 'version': link.VERSION,
                 'type': 'ask_news',
--- a/test/gateway/test_leaf_feed.py
+++ b/test/gateway/test_leaf_feed.py
@@ -33,10 +33,10 @@
     roster.assigned_replicas = lambda process: []
     return types.SimpleNamespace(
         roster=roster,
-        work=replica_load.LoadTracker(clock),
+        loads=replica_load.LoadTracker(clock),
         cache_news=cache_updates.CacheUpdates(prefix_index.PrefixIndex()),
         registry=registry,
-        force=types.SimpleNamespace(catalog=None),
+        active_config=types.SimpleNamespace(catalog=None),
     )
 
 
@@ -48,8 +48,8 @@
     first.handle_report(REPORT)
     second.handle_report(REPORT)
     first.close()
-    assert node.work.load_of('i-1').running == 3
+    assert node.loads.load_of('i-1').running == 3
     assert LEAF in node.roster.leaves
     second.close()
-    assert node.work.load_of('i-1').running == 0
+    assert node.loads.load_of('i-1').running == 0
     assert LEAF not in node.roster.leaves
