--- a/gentianstair/gateway/event_stream.py
+++ b/gentianstair/gateway/event_stream.py
@@ -2,11 +2,11 @@
 
 import re
 
-_ID = re.compile(rb'^id:[ ]?([^\r\n]*)\r?$', re.MULTILINE)
-_END = b'\n\n'
+_ID_LINE = re.compile(rb'^id:[ ]?([^\r\n]*)\r?$', re.MULTILINE)
+_EVENT_END = b'\n\n'
 
 
-class Events:
+class EventBuffer:
     """The events of one answer, over as many replicas as it takes.
 
     A replica may stop in the middle of an event. Whoever goes on begins
@@ -15,36 +15,36 @@
     """
 
     def __init__(self) -> None:
-        self._part = b''
-        self.delivered = 0
+        self._partial = b''
+        self.complete_events = 0
         # The id of the last whole event, None before the first.
         self.last_id: str | None = None
 
     def feed(self, data: bytes) -> bytes:
         """Return the whole events that data completes, as bytes.
 
-        >>> events = Events()
-        >>> events.feed(b'id: 1\\ndata: a\\n\\nid: 2\\nda')
+        >>> buffer = EventBuffer()
+        >>> buffer.feed(b'id: 1\\ndata: a\\n\\nid: 2\\nda')
         b'id: 1\\ndata: a\\n\\n'
-        >>> events.last_id, events.is_whole()
+        >>> buffer.last_id, buffer.at_event_boundary()
         ('1', False)
         """
-        self._part += data
-        end = self._part.rfind(_END)
+        self._partial += data
+        end = self._partial.rfind(_EVENT_END)
         if end < 0:
             return b''
-        end += len(_END)
-        whole, self._part = self._part[:end], self._part[end:]
-        self.delivered += whole.count(_END)
-        found = _ID.findall(whole)
+        end += len(_EVENT_END)
+        whole, self._partial = self._partial[:end], self._partial[end:]
+        self.complete_events += whole.count(_EVENT_END)
+        found = _ID_LINE.findall(whole)
         if found:
             self.last_id = found[-1].decode('latin-1')
         return whole
 
-    def is_whole(self) -> bool:
+    def at_event_boundary(self) -> bool:
         """Return whether the stream stands at the end of an event."""
-        return not self._part
+        return not self._partial
 
-    def restart(self) -> None:
+    def discard_partial(self) -> None:
         """Drop an unfinished event, which the next replica sends anew."""
-        self._part = b''
+        self._partial = b''
--- a/gentianstair/gateway/handler.py
+++ b/gentianstair/gateway/handler.py
@@ -15,9 +15,9 @@
 from gentianstair.gateway import catalog
 from gentianstair.gateway import forward
 from gentianstair.gateway import node as nodes
-from gentianstair.gateway import plain
 from gentianstair.gateway import request_state
 from gentianstair.gateway import streaming
+from gentianstair.gateway import unary
 from gentianstair.generated import events
 from gentianstair.platform import wire
 from gentianstair.util import connections
@@ -46,7 +46,7 @@
 )
 
 
-class Handler:
+class RequestHandler:
     """Serve one request, written down from start to end."""
 
     def __init__(self, node: nodes.Node, exchange: exchanges.Exchange):
@@ -306,9 +306,9 @@
         answer: forward.ReplicaResponse | None
         if request.route.kind is catalog.CallKind.STREAM:
             engine = service.engine if service else None
-            answer = await streaming.Streaming(request, engine).serve()
+            answer = await streaming.StreamingResponse(request, engine).serve()
         else:
-            answer = await plain.serve(request)
+            answer = await unary.serve(request)
         if answer is None:
             self._status = 200
             return
@@ -319,6 +319,6 @@
     """Return the application that callers meet."""
 
     async def serve(exchange: exchanges.Exchange) -> None:
-        await Handler(node, exchange).serve()
+        await RequestHandler(node, exchange).serve()
 
     return asgi.make_app(serve)
--- a/gentianstair/gateway/prompt_read.py
+++ b/gentianstair/gateway/prompt_read.py
@@ -13,9 +13,9 @@
 from gentianstair.gateway import catalog
 from gentianstair.gateway import forward
 from gentianstair.gateway import placement
-from gentianstair.gateway import reading
 from gentianstair.gateway import replicas
 from gentianstair.gateway import request_state
+from gentianstair.gateway import run_record
 from gentianstair.platform import wire
 
 
@@ -97,7 +97,7 @@
         self._reads += 1
         self._kept = _Kept(source, reader.name)
         took_s = node.clock() - started_s
-        reading.note(request, self._prompt, reader, plan, took_s)
+        run_record.record_prefill(request, self._prompt, reader, plan, took_s)
 
     def _failed(
         self,
--- a/gentianstair/gateway/reading.py
+++ b/gentianstair/gateway/run_record.py
@@ -7,7 +7,7 @@
 from gentianstair.generated import events
 
 
-def note(
+def record_prefill(
     request: request_state.RequestState,
     prompt: calls.Prompt,
     replica: replicas.Replica,
@@ -39,7 +39,7 @@
     )
 
 
-class Reading:
+class ReplicaRun:
     """One run at a maker, from its sending to the first event and its end."""
 
     def __init__(
@@ -59,25 +59,27 @@
         work_s = plan.work_s if plan else 0.0
         more_s = plan.more_s if plan else 0.0
         ends_s = self._started_s + (plan.read_s if plan else 0.0)
-        self._sent = node.loads.begin(maker.name, work_s, ends_s, more_s)
-        self.first_s: float | None = None
+        self._load = node.loads.begin(maker.name, work_s, ends_s, more_s)
+        self.first_event_s: float | None = None
 
-    def first(self) -> bool:
+    def record_event(self) -> bool:
         """Note an event; say whether it is the run's first."""
-        if self.first_s is not None:
+        if self.first_event_s is not None:
             return False
         node = self._request.node
-        self.first_s = node.clock()
+        self.first_event_s = node.clock()
         node.usage.began(self._request.customer_name)
-        self._sent.read()
-        took_s = self.first_s - self._started_s
+        self._load.read()
+        took_s = self.first_event_s - self._started_s
         if self._plan is None:
-            self._note_moved(took_s)
+            self._record_kv_move(took_s)
         else:
-            note(self._request, self._prompt, self._maker, self._plan, took_s)
+            record_prefill(
+                self._request, self._prompt, self._maker, self._plan, took_s
+            )
         return True
 
-    def _note_moved(self, took_s: float) -> None:
+    def _record_kv_move(self, took_s: float) -> None:
         self._request.log(
             events.MOVED,
             'the first event came',
@@ -86,6 +88,6 @@
         )
         self._request.node.cache.confirm(self._maker.name, self._prompt)
 
-    def done(self) -> None:
+    def finish(self) -> None:
         """Count the run as over."""
-        self._request.node.loads.end(self._sent)
+        self._request.node.loads.end(self._load)
--- a/gentianstair/gateway/streaming.py
+++ b/gentianstair/gateway/streaming.py
@@ -19,9 +19,9 @@
 from gentianstair.gateway import forward
 from gentianstair.gateway import placement
 from gentianstair.gateway import prompt_read
-from gentianstair.gateway import reading as readings
 from gentianstair.gateway import replicas
 from gentianstair.gateway import request_state
+from gentianstair.gateway import run_record
 from gentianstair.generated import events
 from gentianstair.platform import wire
 
@@ -39,7 +39,7 @@
 ENGINE = catalog.Engine(64, 100000, 16384, 100000.0, 5.0, 3.0, ())
 
 
-class Streaming:
+class StreamingResponse:
     """One streamed answer."""
 
     def __init__(
@@ -51,7 +51,7 @@
         self._node = request.node
         self._engine = engine or ENGINE
         self._prompt = request.call.prompt or calls.Prompt('', 0, 0, ())
-        self._events = event_stream.Events()
+        self._events = event_stream.EventBuffer()
         self._read = prompt_read.PromptRead(
             request, self._prompt, self._engine
         )
@@ -79,7 +79,7 @@
                 except errors.UpstreamError as error:
                     if not request.may_retry(error.verdict):
                         break
-                self._events.restart()
+                self._events.discard_partial()
         finally:
             self._read.free()
         if (
@@ -167,7 +167,7 @@
         return maker
 
     def _priority(self) -> int:
-        if self._events.delivered:
+        if self._events.complete_events:
             return 0
         return min(
             LOWEST_PRIORITY, FIRST_ATTEMPT_PRIORITY + self._request.priority()
@@ -195,26 +195,26 @@
             last_event_id=self._resume_event_id(),
             priority=self._priority(),
         )
-        reading = readings.Reading(request, self._prompt, maker, plan)
+        run = run_record.ReplicaRun(request, self._prompt, maker, plan)
         try:
             async with forward.open_response(
                 node, request.call, sending
             ) as found:
-                await self._pass_on(found, reading)
+                await self._pass_on(found, run)
         except errors.UpstreamError as error:
             request.record_failure(
-                maker, error, started_s, events=self._events.delivered
+                maker, error, started_s, events=self._events.complete_events
             )
             raise
         finally:
-            reading.done()
-        request.record_success(maker, reading.first_s or started_s)
+            run.finish()
+        request.record_success(maker, run.first_event_s or started_s)
 
     def _resume_event_id(self) -> str | None:
         return self._events.last_id or self._request.call.last_event_id
 
     async def _pass_on(
-        self, found: httpx.Response, reading: readings.Reading
+        self, found: httpx.Response, run: run_record.ReplicaRun
     ) -> None:
         request = self._request
         verdict = wire.verdict_of(found)
@@ -238,12 +238,15 @@
             whole = self._events.feed(data)
             if not whole:
                 continue
-            if reading.first():
+            if run.record_event():
                 limit_s = silence_s
                 await self._start(found)
             request.record_event_sent()
             await request.exchange.write(whole)
-        if not self._events.is_whole() or not self._events.delivered:
+        if (
+            not self._events.at_event_boundary()
+            or not self._events.complete_events
+        ):
             raise errors.UpstreamError(
                 'the stream ends in an event', verdicts.Verdict.RAN
             )
