--- a/gentianstair/gateway/remote_prefill.py
+++ b/gentianstair/gateway/remote_prefill.py
@@ -13,9 +13,9 @@
 from gentianstair.gateway import catalog
 from gentianstair.gateway import forward
 from gentianstair.gateway import placement
-from gentianstair.gateway import reading
 from gentianstair.gateway import replicas
 from gentianstair.gateway import request_state
+from gentianstair.gateway import run_record
 from gentianstair.platform import wire
 
 
@@ -98,7 +98,7 @@
         self._attempts += 1
         self._held = _HeldKv(source, replica.name)
         took_s = node.clock() - started_s
-        reading.note(request, self._prompt, replica, plan, took_s)
+        run_record.record_prefill(request, self._prompt, replica, plan, took_s)
 
     def _failed(
         self,
