--- a/gentianstair/gateway/__main__.py
+++ b/gentianstair/gateway/__main__.py
@@ -1,13 +1,13 @@
-"""Start the gateway; ``python3 -m gentianstair.gateway``."""
+"""Start the gateway with ``python3 -m gentianstair.gateway``."""
 
 import gc
 import signal
 
-# Until the program has read its settings there is nothing to reload, and the
-# signal's default action would end a process that only just starts.
+# Ignore SIGHUP until its handler is installed; the default action would
+# terminate the process while it starts.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
-# Nothing that imports make is garbage. To look for it prolongs the time in
-# which a restarted VM serves nobody, and each later look.
+# Objects created by imports live as long as the process. Disabling collection
+# shortens the start, and freezing them makes later collections cheaper.
 gc.disable()
 
 from gentianstair.gateway import main  # noqa: E402
--- a/gentianstair/gateway/calls.py
+++ b/gentianstair/gateway/calls.py
@@ -1,4 +1,4 @@
-"""Define one caller's request, and one sending of it to a replica."""
+"""Define a caller's request and an attempt to run it at a replica."""
 
 import typing
 
@@ -8,64 +8,64 @@
 
 
 class PromptPart(typing.NamedTuple):
-    """A piece of a prompt that other requests may share."""
+    """A part of a prompt that other requests may share."""
 
     name: str
     tokens: int
 
 
 class Prompt(typing.NamedTuple):
-    """What a caller says of its prompt."""
+    """What a caller's headers say of its prompt."""
 
     model: str
     tokens: int
     output_limit_tokens: int
-    # In order; the last belongs to the request itself or to its session.
+    # In order; the last one is not shared beyond the session.
     parts: tuple[PromptPart, ...]
 
 
 class Call(typing.NamedTuple):
-    """One request of a caller, decoded.
+    """One decoded request of a caller.
 
-    ``headers`` are those that go on to a replica unchanged; what the system
-    sets itself, the key and what concerns one connection are not in it.
+    ``headers`` go to a replica unchanged; they exclude hop-by-hop headers,
+    the API key and headers that the gateway sets itself.
     """
 
     request_id: str
     method: str
-    # As it came, with the query.
+    # The raw path and query.
     target: bytes
     host: str
     path: str
     headers: Headers
     api_key: str | None
-    # How long the caller waits, from its arrival; None if it does not say.
+    # How long the caller waits from arrival; None without a deadline header.
     timeout_s: float | None
-    # The last event of the stream that the caller has.
+    # The id of the last event that the caller received of a stream.
     last_event_id: str | None
     prompt: Prompt | None
 
 
 class KvSource(typing.NamedTuple):
-    """Where a replica finds the KV cache of a prompt already read."""
+    """Where the KV cache of a prefilled prompt is kept."""
 
     address: str
     handle: str
 
 
 class Attempt(typing.NamedTuple):
-    """How a call goes to one replica."""
+    """A call as it goes to one replica."""
 
     replica: replicas.Replica
     customer: str | None
     remaining_s: float
     body: bytes
-    # The replica is to read the prompt and keep its KV cache, no more.
+    # The replica prefills the prompt and keeps its KV cache, without decoding.
     prefill_only: bool = False
     kv_source: KvSource | None = None
-    # The address of a replica from whose memory the one that reads the
-    # prompt first copies what it lacks itself.
+    # The address of a replica from which the prefilling one first copies the
+    # cached parts of the prompt that it lacks.
     kv_copy_address: str | None = None
     last_event_id: str | None = None
-    # 0 first to 9 last; None leaves it to the replica.
+    # From 0, which runs first, to 9; None leaves it to the replica.
     priority: int | None = None
--- a/gentianstair/gateway/deployment.py
+++ b/gentianstair/gateway/deployment.py
@@ -1,22 +1,32 @@
-"""Say what a process is told of the deployment that it runs in."""
+"""Define the settings of the deployment that a process runs in."""
 
 import typing
 
 
 class Bounds(typing.NamedTuple):
-    """What the users allow; seconds and shares, from the settings file."""
+    """Time limits, retry budget and guarantees from the settings file."""
 
+    # How long after it starts draining a replica still serves; new requests
+    # must stop going to it within this time.
     drain_s: float
+    # How long a process may take to stop after SIGTERM.
     grace_s: float
+    # Time in which a new configuration must be active, and how much longer
+    # a VM without access to the store may take.
     config_apply_s: float
     config_stretch_s: float
+    # Retries allowed in a window, over all VMs: retry_ratio times the
+    # requests, plus retry_allowance.
     retry_ratio: float
     retry_window_s: float
     retry_allowance: float
+    # Whether the platform rejects orders with an outdated fencing token.
     orders_fenced: bool
     lease_s: float
+    # Length of a usage reporting window, and how late its report may be.
     usage_window_s: float
     usage_late_s: float
+    # The file's ``retry_after_s``; the gateway does not use it.
     prefix_reuse_s: float
 
 
@@ -29,8 +39,8 @@
     ip: str
     callers_address: str
     ready_address: str
-    # Where peers find this VM, and where it looks for its first peers; the
-    # latter may be out of date.
+    # Where peers connect to this VM, and where it looks for its first peers;
+    # the seeds may be out of date.
     peer_address: str
     peer_seeds: tuple[str, ...]
     store_address: str
@@ -40,15 +50,17 @@
     duty_calls_per_s: float
     memory_mb: float
     max_fds: int
-    # Its share of a core times the core's speed.
+    # This process's share of a core times the core's relative speed.
     cores: float
     replica_heartbeat_s: float
+    # Whether all VMs start for the first time, so that no earlier process
+    # has held a lease or spent retries.
     whole_system_starts: bool
     bounds: Bounds
 
 
 class LiveSettings:
-    """The settings in force; a reload replaces them whole."""
+    """The current settings; a reload replaces the whole object."""
 
     def __init__(self, current: Deployment) -> None:
         self.current = current
--- a/gentianstair/gateway/environment.py
+++ b/gentianstair/gateway/environment.py
@@ -1,4 +1,4 @@
-"""Read the settings of ours that the platform's file has no place for."""
+"""Read the gateway's own settings from environment variables."""
 
 import collections.abc
 import typing
@@ -11,11 +11,11 @@
 
 
 class EnvironmentSettings(typing.NamedTuple):
-    """Settings of ours; None where the default holds."""
+    """Settings from the environment; None stands for the default."""
 
-    # Metrics are served there, and not at all without it.
+    # Metrics are served at this port; None disables them.
     metrics_port: int | None = None
-    # How long a caller's connection is kept without a request.
+    # How long an idle connection of a caller is kept open.
     keep_alive_s: float | None = None
 
 
@@ -35,7 +35,7 @@
         return None
     if not text.isdigit() or not 0 < int(text) < 65536:
         raise errors.SettingsError(
-            f'{METRICS_PORT_VARIABLE}: {text!r} is no port'
+            f'{METRICS_PORT_VARIABLE}: {text!r} is not a port'
         )
     return int(text)
 
@@ -49,7 +49,7 @@
         value_s = 0.0
     if not 0 < value_s <= MAX_KEEP_ALIVE_S:
         raise errors.SettingsError(
-            f'{KEEP_ALIVE_VARIABLE}: {text!r} is no time above 0 and up to '
-            f'{MAX_KEEP_ALIVE_S:g} s'
+            f'{KEEP_ALIVE_VARIABLE}: {text!r} is not a number of seconds '
+            f'above 0 and up to {MAX_KEEP_ALIVE_S:g}'
         )
     return value_s
--- a/gentianstair/gateway/event_stream.py
+++ b/gentianstair/gateway/event_stream.py
@@ -1,4 +1,4 @@
-"""Delimit the events of a stream, so that only whole ones are passed on."""
+"""Split a server-sent event stream so that only whole events are forwarded."""
 
 import re
 
@@ -7,21 +7,20 @@
 
 
 class EventBuffer:
-    """The events of one answer, over as many replicas as it takes.
+    """Buffer the incomplete event at the end of a stream.
 
-    A replica may stop in the middle of an event. Whoever goes on begins
-    after the last whole one, so a part that was passed on could not be
-    taken back.
+    A replica may fail in the middle of an event. The next replica resumes
+    after the last complete one, so incomplete events must not be forwarded.
     """
 
     def __init__(self) -> None:
         self._partial = b''
-        self.complete_events = 0
-        # The id of the last whole event, None before the first.
+        self.event_count = 0
+        # The id of the last complete event, None before the first.
         self.last_id: str | None = None
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that data completes, as bytes.
+        """Add data; return the bytes of the events that it completes.
 
         >>> buffer = EventBuffer()
         >>> buffer.feed(b'id: 1\\ndata: a\\n\\nid: 2\\nda')
@@ -35,16 +34,16 @@
             return b''
         end += len(_EVENT_END)
         whole, self._partial = self._partial[:end], self._partial[end:]
-        self.complete_events += whole.count(_EVENT_END)
-        found = _ID_LINE.findall(whole)
-        if found:
-            self.last_id = found[-1].decode('latin-1')
+        self.event_count += whole.count(_EVENT_END)
+        ids = _ID_LINE.findall(whole)
+        if ids:
+            self.last_id = ids[-1].decode('latin-1')
         return whole
 
     def at_event_boundary(self) -> bool:
-        """Return whether the stream stands at the end of an event."""
+        """Return whether no incomplete event is buffered."""
         return not self._partial
 
     def discard_partial(self) -> None:
-        """Drop an unfinished event, which the next replica sends anew."""
+        """Drop an incomplete event, which the next replica sends again."""
         self._partial = b''
--- a/gentianstair/gateway/forward.py
+++ b/gentianstair/gateway/forward.py
@@ -1,4 +1,4 @@
-"""Send a call to one replica and read what it answers."""
+"""Send a call to one replica and read its response."""
 
 import collections.abc
 import contextlib
@@ -16,14 +16,14 @@
 from gentianstair.platform import wire
 from gentianstair.upstreams import transport
 
-# A replica accepts within milliseconds; one that has lost power or lies
-# behind a cut does not answer at all, and the request can go elsewhere.
+# A replica that has lost power or is partitioned does not refuse connections,
+# so the connect timeout ends the attempt and the request can go elsewhere.
 CONNECT_TIMEOUT_S = 0.5
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 
 
 class ReplicaResponse(typing.NamedTuple):
-    """A whole answer of a replica, as it goes on to the caller."""
+    """A whole response of a replica, as it goes on to the caller."""
 
     status: int
     headers: calls.Headers
@@ -32,20 +32,21 @@
 
 
 def ejector_key(service: str, replica: str) -> str:
-    """Return the name under which tries at a replica are judged."""
+    """Return the name under which the ejector knows a replica."""
     return f'{service}/{replica}'
 
 
 @contextlib.asynccontextmanager
 async def open_response(
-    node: nodes.Node, call: calls.Call, sending: calls.Attempt
+    node: nodes.Node, call: calls.Call, attempt: calls.Attempt
 ) -> collections.abc.AsyncIterator[httpx.Response]:
-    """Yield the answer at its headers; leaving early cancels the work.
+    """Yield a response once its headers are there; close it on exit.
 
-    Raise UpstreamError with what is known of the request's effect.
+    Closing it early cancels the work. Raise UpstreamError with a verdict on
+    whether the request may have run.
     """
-    outgoing = wire.encode_sending(call, sending, CONNECT_TIMEOUT_S)
-    response = await node.transport.handle_async_request(outgoing)
+    request = wire.encode_sending(call, attempt, CONNECT_TIMEOUT_S)
+    response = await node.transport.handle_async_request(request)
     try:
         yield response
     finally:
@@ -54,12 +55,12 @@
 
 
 async def read_body(response: httpx.Response) -> bytes:
-    """Return a whole body; raise UpstreamError if it does not come whole."""
+    """Return a whole body; raise UpstreamError if it is incomplete."""
     return await transport.read_all(response, MAX_RESPONSE_BYTES)
 
 
 async def read_response(response: httpx.Response) -> ReplicaResponse:
-    """Return an answer with its body."""
+    """Return a response with its body."""
     body = await read_body(response)
     return ReplicaResponse(
         response.status_code,
@@ -70,19 +71,19 @@
 
 
 async def fetch_response(
-    node: nodes.Node, call: calls.Call, sending: calls.Attempt
+    node: nodes.Node, call: calls.Call, attempt: calls.Attempt
 ) -> ReplicaResponse:
-    """Send a call and return its whole answer; raise UpstreamError."""
-    async with open_response(node, call, sending) as response:
+    """Send a call and return its whole response; raise UpstreamError."""
+    async with open_response(node, call, attempt) as response:
         return await read_response(response)
 
 
 async def release_kv(
     node: nodes.Node, replica: str, source: calls.KvSource
 ) -> None:
-    """Free a KV cache that nobody will take; it frees itself in the end."""
+    """Free a prefilled KV cache that no replica will fetch."""
     request = wire.release_kv_request(replica, source, CONNECT_TIMEOUT_S)
-    why = 'no answer in time'
+    reason = 'no answer in time'
     with trio.move_on_after(CONNECT_TIMEOUT_S * 2):
         try:
             response = await node.transport.handle_async_request(request)
@@ -92,8 +93,8 @@
             finally:
                 await response.stream.aclose()
         except errors.UpstreamError as error:
-            why = str(error)
-    # Nothing depends on it: the replica drops the cache when it lapses.
+            reason = str(error)
+    # Harmless: the replica drops the cache when its hold expires.
     loguru.logger.bind(event=events.KV_NOT_FREED, replica=replica).info(
-        'a KV cache was not freed: {}', why
+        'a KV cache was not freed: {}', reason
     )
--- a/gentianstair/gateway/handler.py
+++ b/gentianstair/gateway/handler.py
@@ -1,4 +1,4 @@
-"""Serve one caller's request: from its headers to the end of the answer."""
+"""Serve one caller's request, from its headers to the end of the response."""
 
 import functools
 
@@ -22,15 +22,16 @@
 from gentianstair.platform import wire
 from gentianstair.util import connections
 
-# Told by a process that has no configuration yet: it reads one as soon as
-# the store or a peer answers.
-NO_CATALOG_RETRY_S = 0.7
+# Retry-After of a process that has no configuration yet; it gets one as soon
+# as the store or a peer responds.
+NO_CONFIG_RETRY_AFTER_S = 0.7
 # How long a request waits in a process that has just started for the first
-# answers of the store. They take 20 ms where the store is well; when it is
-# away, callers should soon be told so.
-FIRST_NEWS_S = 0.5
-# An answer that the deadline ends must still reach its caller in time.
-ANSWER_S = 0.05
+# listings of the store. Bounded so that callers get an error soon when the
+# store is down.
+INITIAL_SYNC_TIMEOUT_S = 0.5
+# Reserved before a caller's deadline so that a timeout response still reaches
+# the caller in time.
+RESPONSE_MARGIN_S = 0.05
 
 REQUESTS = prometheus_client.Counter(
     'gentianstair_gateway_requests',
@@ -47,12 +48,13 @@
 
 
 class RequestHandler:
-    """Serve one request, written down from start to end."""
+    """Serve one request from start to end."""
 
     def __init__(self, node: nodes.Node, exchange: exchanges.Exchange):
         self._node = node
         self._exchange = exchange
-        # At a planned stop callers are told not to come back on it.
+        # While the process drains, responses ask callers to close their
+        # connections.
         exchange.closes = node.draining.is_set
         self._arrived_s = node.clock()
         self._call: calls.Call | None = None
@@ -60,42 +62,45 @@
         self._status = 0
 
     async def serve(self) -> None:
-        """Serve the request; every failure ends in a final answer."""
+        """Serve the request; every failure ends in a final response."""
         RUNNING.inc()
         try:
             await self._serve()
         except errors.RequestError as error:
-            await self._fail(error)
+            await self._send_error(error)
         except exchanges.CallerGoneError as error:
-            self._gone(error)
+            self._log_disconnect(error)
             if self._exchange.started:
-                # The server closes a connection whose answer is not ended.
+                # The server closes a connection whose response is not
+                # complete.
                 raise
         except Exception:
-            # A fault of this program: the caller is told at once, and the
-            # log has the place.
+            # A bug in this program: the caller gets a 500 at once, and the
+            # log has the traceback.
             self._status = 500
-            loguru.logger.bind(event=events.FAULT, **self._named()).exception(
-                'a request failed inside this process'
-            )
+            loguru.logger.bind(
+                event=events.FAULT, **self._request_id_field()
+            ).exception('internal error while serving a request')
             if self._exchange.started:
                 raise
-            await self._answer(500, [], b'')
+            await self._respond(500, [], b'')
         finally:
             RUNNING.dec()
-            # Without a status it was cancelled: the grace is over, or the
-            # process ends.
+            # A request without a status was cancelled: the grace period is
+            # over, or the process ends.
             self._status = self._status or exchanges.HTTP_CLOSED_HERE
-            self._account()
+            self._record_result()
 
-    def _gone(self, error: exchanges.CallerGoneError) -> None:
-        """Note that the connection has ended, and who ended it."""
+    def _log_disconnect(self, error: exchanges.CallerGoneError) -> None:
+        """Log that the connection has ended, and which side closed it."""
         connection = self._exchange.connection
         self._status = self._exchange.gone_status()
-        # An HTTP/2 request may end alone.
+        # An HTTP/2 stream may be reset while its connection stays open.
         end = connection.end or connections.End.STREAM_RESET
         logger = loguru.logger.bind(
-            end=end.value, closed_by=end.closed_by.value, **self._named()
+            end=end.value,
+            closed_by=end.closed_by.value,
+            **self._request_id_field(),
         )
         if connection.is_closed_here:
             logger.bind(event=events.CLOSED_HERE).info(
@@ -104,10 +109,10 @@
         else:
             logger.bind(event=events.CALLER_GONE).info('{}', error)
 
-    def _named(self) -> dict[str, str]:
+    def _request_id_field(self) -> dict[str, str]:
         return {'request_id': self._call.request_id if self._call else ''}
 
-    def _account(self) -> None:
+    def _record_result(self) -> None:
         took_s = self._node.clock() - self._arrived_s
         DURATION_S.observe(took_s)
         request = self._request
@@ -121,13 +126,13 @@
             status=self._status,
             verdict=verdict,
             sent=request.attempts if request else 0,
-            first_s=self._first_s(),
-            **self._asked(),
+            first_s=self._time_to_first_event_s(),
+            **self._objective_fields(),
             took_s=round(took_s, 3),
         ).info('answered {}', self._status)
 
-    def _asked(self) -> dict[str, float]:
-        """Return what was to be kept to, and the longest pause there was."""
+    def _objective_fields(self) -> dict[str, float]:
+        """Return the route's objectives and how the stream met them."""
         request = self._request
         if request is None:
             return {}
@@ -139,13 +144,13 @@
             'prompt_tokens': prompt.tokens if prompt else 0,
         }
 
-    def _first_s(self) -> float | None:
-        """Return how long a stream's caller waited for its first event."""
+    def _time_to_first_event_s(self) -> float | None:
+        """Return the time from arrival to a stream's first event."""
         if self._request is None or self._request.first_event_s is None:
             return None
         return round(self._request.first_event_s - self._arrived_s, 3)
 
-    async def _fail(self, error: errors.RequestError) -> None:
+    async def _send_error(self, error: errors.RequestError) -> None:
         self._status = error.status
         exchange = self._exchange
         if exchange.ended:
@@ -155,10 +160,10 @@
                 event=events.CUT,
                 kind=error.kind,
                 verdict=error.verdict.name,
-                **self._named(),
-            ).info('cut in the answer: {}', error.detail)
-            # An answer that is cut must not look complete.
-            raise exchanges.CallerGoneError(f'cut: {error.detail}')
+                **self._request_id_field(),
+            ).info('response cut off: {}', error.detail)
+            # A truncated response must not look complete.
+            raise exchanges.CallerGoneError(f'cut off: {error.detail}')
         call = self._call
         headers = wire.refusal_headers(
             call.request_id if call else '', error.retry_after_s
@@ -171,9 +176,9 @@
             verdict=error.verdict.name,
             retry_after_s=error.retry_after_s,
         ).info('refused: {}', error.detail)
-        await self._answer(error.status, headers, b'')
+        await self._respond(error.status, headers, b'')
 
-    async def _answer(
+    async def _respond(
         self, status: int, headers: calls.Headers, body: bytes
     ) -> None:
         self._status = status
@@ -195,48 +200,60 @@
             if node.active_config.catalog
             else (catalog.Limits())
         )
-        # Read before any answer: a connection whose request was not read
-        # to its end can't be used again, and its caller would not know.
+        # Read the body before any response: a connection with an unread body
+        # can't be reused, and the caller would not know.
         body = await exchange.read_body(
             limits.body_bytes, call.timeout_s or limits.idle_s
         )
-        found = await self._catalog(call)
-        if found is None:
+        active_catalog = await self._wait_for_catalog(call)
+        if active_catalog is None:
             raise errors.RequestError(
                 503,
                 'no-configuration',
                 'this VM has no configuration yet',
-                retry_after_s=NO_CATALOG_RETRY_S,
+                retry_after_s=NO_CONFIG_RETRY_AFTER_S,
             )
-        route = found.route(call.host, call.path)
+        route = active_catalog.route(call.host, call.path)
         if route is None:
             raise errors.RequestError(404, 'no-route', 'no such route')
-        customer = self._customer(found, route, call)
+        customer = self._authenticate(active_catalog, route, call)
         request = self._request = self._make_request_state(
             call, body, route, customer
         )
         node.repeats.request(request.service)
-        await self._until_gone(request, found.services.get(request.service))
+        await self._run_to_deadline(
+            request, active_catalog.services.get(request.service)
+        )
 
-    async def _catalog(self, call: calls.Call) -> catalog.Catalog | None:
-        """Return the configuration in force, None if there is none yet.
+    async def _wait_for_catalog(
+        self, call: calls.Call
+    ) -> catalog.Catalog | None:
+        """Return the active configuration, None if there is none yet.
 
-        A process that has just started is asked at once by callers whose
-        connections broke; refused, they come back a second later, while
-        the first answers of the store take some hundredths.
+        Callers reconnect to a restarted process at once. A short wait for
+        the first listings serves them sooner than a refusal and their retry.
         """
         node = self._node
         if not node.is_synced():
-            patience_s = call.timeout_s or FIRST_NEWS_S
-            with trio.move_on_after(min(FIRST_NEWS_S, patience_s / 3)):
+            timeout_s = call.timeout_s or INITIAL_SYNC_TIMEOUT_S
+            with trio.move_on_after(
+                min(INITIAL_SYNC_TIMEOUT_S, timeout_s / 3)
+            ):
                 await node.wait_synced()
         return node.active_config.catalog
 
-    def _customer(
-        self, found: catalog.Catalog, route: catalog.Route, call: calls.Call
+    def _authenticate(
+        self,
+        active_catalog: catalog.Catalog,
+        route: catalog.Route,
+        call: calls.Call,
     ) -> catalog.Customer | None:
-        customer = found.customers.get(call.api_key) if call.api_key else None
-        if customer is None and found.keyed and not route.public:
+        customer = (
+            active_catalog.customers.get(call.api_key)
+            if call.api_key
+            else None
+        )
+        if customer is None and active_catalog.keyed and not route.public:
             raise errors.RequestError(401, 'unknown-key', 'unknown key')
         return customer
 
@@ -247,9 +264,9 @@
         route: catalog.Route,
         customer: catalog.Customer | None,
     ) -> request_state.RequestState:
-        limit_s = route.timeout_s
+        timeout_s = route.timeout_s
         if call.timeout_s is not None:
-            limit_s = min(limit_s, call.timeout_s)
+            timeout_s = min(timeout_s, call.timeout_s)
         return request_state.RequestState(
             self._node,
             self._exchange,
@@ -258,21 +275,21 @@
             route,
             catalog.pick_service(route, call.request_id),
             customer,
-            self._arrived_s + limit_s - ANSWER_S,
+            self._arrived_s + timeout_s - RESPONSE_MARGIN_S,
         )
 
-    async def _until_gone(
+    async def _run_to_deadline(
         self,
         request: request_state.RequestState,
         service: catalog.Service | None,
     ) -> None:
-        """Serve until done, the caller leaves or its deadline passes."""
+        """Serve until done, the caller disconnects or the deadline passes."""
         if request.remaining_s() < request_state.MIN_REMAINING_S:
-            # Sent now it could only be cut, and might have run by then.
+            # An attempt made now would time out, possibly after it had run.
             raise request.final_error()
         end = await patience.run(
             self._exchange,
-            functools.partial(self._run, request, service),
+            functools.partial(self._forward, request, service),
             request.remaining_s(),
             self._node.grace,
         )
@@ -281,42 +298,47 @@
         if request.attempts:
             request.record_verdict(verdicts.Verdict.MAY_HAVE_RUN)
         if end is patience.End.GONE:
-            raise exchanges.CallerGoneError('the caller hung up')
-        raise self._late(request, end)
+            raise exchanges.CallerGoneError('the caller disconnected')
+        raise self._timeout_error(request, end)
 
-    def _late(
+    def _timeout_error(
         self, request: request_state.RequestState, end: patience.End
     ) -> errors.RequestError:
-        """Return the error when time is over."""
+        """Return the error of a request that ran out of time."""
         if request.verdict is verdicts.Verdict.NOT_RUN:
             return request.final_error()
         if end is patience.End.STOPPED:
             return errors.RequestError(
-                504, 'stopping', 'no answer before this stop', request.verdict
+                504,
+                'stopping',
+                'no answer before the process stopped',
+                request.verdict,
             )
         return errors.RequestError(
             504, 'deadline-passed', 'no answer in time', request.verdict
         )
 
-    async def _run(
+    async def _forward(
         self,
         request: request_state.RequestState,
         service: catalog.Service | None,
     ) -> None:
-        answer: forward.ReplicaResponse | None
+        response: forward.ReplicaResponse | None
         if request.route.kind is catalog.CallKind.STREAM:
             engine = service.engine if service else None
-            answer = await streaming.StreamingResponse(request, engine).serve()
+            response = await streaming.StreamingResponse(
+                request, engine
+            ).serve()
         else:
-            answer = await unary.serve(request)
-        if answer is None:
+            response = await unary.serve(request)
+        if response is None:
             self._status = 200
             return
-        await self._answer(answer.status, answer.headers, answer.body)
+        await self._respond(response.status, response.headers, response.body)
 
 
 def make_app(node: nodes.Node) -> asgi.App:
-    """Return the application that callers meet."""
+    """Return the ASGI application that serves callers."""
 
     async def serve(exchange: exchanges.Exchange) -> None:
         await RequestHandler(node, exchange).serve()
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -1,4 +1,4 @@
-"""Run the program gentianstair-gateway: one process on each entry VM."""
+"""Run the gentianstair-gateway program, one process on each entry VM."""
 
 import collections.abc
 import functools
@@ -55,25 +55,26 @@
 from gentianstair.util import serving
 from gentianstair.util import steady_wall
 
-# The balancer asks each second and needs two refusals; until then it sends
-# new connections here.
+# How long new connections are accepted after a stop is requested. The load
+# balancer checks readiness each second and needs two failures to notice.
 BALANCER_DRAIN_S = 2.6
-# Left of the grace for the last writes.
+# Reserved at the end of the grace period for the last writes to the store.
 FINAL_WRITES_S = 1.0
-# Share of a short grace in which requests may end, whatever that leaves.
+# Least share of the grace period in which requests may complete, even if less
+# than the reserved time is left after it.
 REQUEST_GRACE_SHARE = 0.85
-# Connections to replicas are kept for less than any of them keeps an idle
-# one that it says nothing about.
+# How long idle connections to replicas are kept; shorter than the keep-alive
+# timeout of any replica that does not announce one.
 REPLICA_IDLE_TIMEOUT_S = 1.0
 READY_GRACE_S = 0.1
-# Pause before background work that failed is begun anew.
+# Pause before failed background work is restarted.
 FAULT_BACKOFF_S = 1.0
-# Longest wait for the log's reader before the process ends by itself.
+# How long to wait for the log buffer to drain before exiting on an error.
 LAST_LINE_TIMEOUT_S = 0.5
 
 
 class ProcessParts(typing.NamedTuple):
-    """The parts of one process, none of them running yet."""
+    """The components of one process, none of them running yet."""
 
     node: nodes.Node
     members: memberships.Members
@@ -86,31 +87,37 @@
 def make_process_parts(
     live: deployment.LiveSettings, nursery: trio.Nursery
 ) -> ProcessParts:
-    """Return the parts of a process for a deployment."""
-    found = live.current
+    """Return the components of a process for a deployment."""
+    vm_settings = live.current
     now = clock.boottime_s
-    store = objects.connect(found.store_address, found.vm)
-    bounds = found.bounds
-    wall = steady_wall.SteadyWall(time.time, now)
-    counts = usage.Counts(wall, bounds.usage_window_s)
-    name = f'{found.vm}.{settled.new_nonce()}'
+    store = objects.connect(vm_settings.store_address, vm_settings.vm)
+    bounds = vm_settings.bounds
+    wall_clock = steady_wall.SteadyWall(time.time, now)
+    counts = usage.Counts(wall_clock, bounds.usage_window_s)
+    name = f'{vm_settings.vm}.{settled.new_nonce()}'
     record = memberships.Record(
-        vm=found.vm,
-        failure_domain=found.failure_domain,
-        peer_address=found.peer_address,
+        vm=vm_settings.vm,
+        failure_domain=vm_settings.failure_domain,
+        peer_address=vm_settings.peer_address,
         beat=0,
         windows={},
-        cores=found.cores,
+        cores=vm_settings.cores,
     )
-    costs = read_costs.ReadCosts()
+    prefill_costs = read_costs.ReadCosts()
     members = memberships.Members(
-        store, name, record, counts, now, found.store_writes_per_s, costs
+        store,
+        name,
+        record,
+        counts,
+        now,
+        vm_settings.store_writes_per_s,
+        prefill_costs,
     )
-    node = _make_node(live, store, counts, members, costs, nursery)
+    node = _make_node(live, store, counts, members, prefill_costs, nursery)
     leases = lease.make_leases(
         store, name, now, duties.lease_terms(bounds.lease_s)
     )
-    platform = cloud.Cloud(found.duties_address, found.vm)
+    platform = cloud.Cloud(vm_settings.duties_address, vm_settings.vm)
     touch = following.Touch(now)
     reporter = duties.UsageReporter(
         store,
@@ -118,13 +125,13 @@
         platform,
         counts,
         duties.Terms(bounds.usage_window_s, bounds.usage_late_s),
-        wall,
+        wall_clock,
     )
     fleet = fleets.Fleet(node, platform, touch)
     return ProcessParts(node, members, leases, reporter, fleet, touch)
 
 
-def _repeat_terms(live: deployment.LiveSettings) -> repeats.Terms:
+def _retry_terms(live: deployment.LiveSettings) -> repeats.Terms:
     bounds = live.current.bounds
     return repeats.Terms(
         bounds.retry_ratio,
@@ -138,16 +145,19 @@
     store: objects.ObjectStore,
     counts: usage.Counts,
     members: memberships.Members,
-    costs: read_costs.ReadCosts,
+    prefill_costs: read_costs.ReadCosts,
     nursery: trio.Nursery,
 ) -> nodes.Node:
     now = clock.boottime_s
-    found = live.current
-    work = loads.Loads(now)
+    vm_settings = live.current
+    node_loads = loads.Loads(now)
     cache = prefix_cache.PrefixCache()
     registry = replicas.Registry(now)
     own_vm = hubs.Vm(
-        found.vm, found.failure_domain, found.peer_address, found.cores
+        vm_settings.vm,
+        vm_settings.failure_domain,
+        vm_settings.peer_address,
+        vm_settings.cores,
     )
     roster = rosters.Roster(own_vm, members, registry, now)
     return nodes.Node(
@@ -156,23 +166,23 @@
         started_s=now(),
         active_config=nodes.ActiveConfig(),
         registry=registry,
-        loads=work,
+        loads=node_loads,
         cache=cache,
         cache_news=cache_news.CacheNews(cache),
         roster=roster,
-        read_costs=costs,
+        read_costs=prefill_costs,
         placement=placement.Placement(
-            found.failure_domain,
-            work,
+            vm_settings.failure_domain,
+            node_loads,
             cache,
-            costs,
-            random.Random(found.vm),
+            prefill_costs,
+            random.Random(vm_settings.vm),
         ),
         repeats=repeats.Repeats(
-            functools.partial(_repeat_terms, live),
+            functools.partial(_retry_terms, live),
             now,
             roster.count,
-            restarted=not found.whole_system_starts,
+            restarted=not vm_settings.whole_system_starts,
         ),
         ejector=ejection.Ejector(),
         transport=transport.make_transport(idle_s=REPLICA_IDLE_TIMEOUT_S),
@@ -184,29 +194,29 @@
     )
 
 
-def _take_catalog(node: nodes.Node, found: catalog.Catalog) -> None:
-    if node.active_config.apply(found):
+def _apply_catalog(node: nodes.Node, new_catalog: catalog.Catalog) -> None:
+    if node.active_config.apply(new_catalog):
         node.registry.cache_calls = min(
             (
                 s.engine.cache_calls
-                for s in found.services.values()
+                for s in new_catalog.services.values()
                 if s.engine
             ),
             default=replicas.CACHE_CALLS,
         )
-        loguru.logger.bind(event=events.CONFIG, version=found.version).info(
-            'configuration {} is in force', found.version
-        )
+        loguru.logger.bind(
+            event=events.CONFIG, version=new_catalog.version
+        ).info('configuration {} is active', new_catalog.version)
 
 
-def _sources(process: ProcessParts) -> list[following.Source]:
+def _watch_sources(process: ProcessParts) -> list[following.Source]:
     node = process.node
     return [
         following.config_source(
             configuration.decode,
             configuration.NAME,
             configuration.KIND,
-            functools.partial(_take_catalog, node),
+            functools.partial(_apply_catalog, node),
         ),
         following.replica_source(
             registry.decode, registry.KIND, node.registry
@@ -214,14 +224,14 @@
     ]
 
 
-def _background(
+def _background_tasks(
     process: ProcessParts,
 ) -> list[collections.abc.Callable[[], collections.abc.Awaitable[None]]]:
-    """Return what a process does beside the requests and the duties."""
+    """Return the background tasks that every process runs."""
     node = process.node
     knowledge = knowledges.Knowledge(
         configuration.decode,
-        functools.partial(_take_catalog, node),
+        functools.partial(_apply_catalog, node),
         process.touch,
     )
     turn = following.Turn(node.roster.is_told, node.roster.count)
@@ -229,7 +239,7 @@
         functools.partial(
             following.follow, node.store, source, process.touch, turn
         )
-        for source in _sources(process)
+        for source in _watch_sources(process)
     ]
     return [
         *follow,
@@ -242,9 +252,9 @@
 async def restart_on_fault(
     work: collections.abc.Callable[[], collections.abc.Awaitable[None]],
 ) -> None:
-    """Do work beside the requests; a fault in it ends nothing else.
+    """Run background work and restart it after an unexpected exception.
 
-    Callers' requests run in the same process and would all be cut.
+    Otherwise a fault in it would end the process and cut off all requests.
     """
     while True:
         try:
@@ -254,12 +264,12 @@
             raise
         except Exception:
             loguru.logger.bind(event=events.FAULT).exception(
-                'background work failed'
+                'background work failed, restarting it'
             )
         await trio.sleep(FAULT_BACKOFF_S)
 
 
-async def _do_duties(
+async def _run_duties(
     process: ProcessParts, authority: lease.Authority
 ) -> None:
     async with trio.open_nursery() as nursery:
@@ -269,54 +279,53 @@
             )
 
 
-async def _hold_duties(process: ProcessParts) -> None:
-    """Compete for the lease, and do the duties while it is held."""
-    found = process.node.deployment
-    if not found.whole_system_starts:
-        # The process before this one may have held the lease a moment ago;
-        # to take it right after another would be taking turns.
-        await trio.sleep(duties.lease_terms(found.bounds.lease_s).rest_s)
-    scopes = {duties.SCOPE: functools.partial(_do_duties, process)}
+async def _campaign_for_duties(process: ProcessParts) -> None:
+    """Campaign for the lease, and run the duties while it is held."""
+    vm_settings = process.node.deployment
+    if not vm_settings.whole_system_starts:
+        # An earlier process on this VM may just have held the lease; the pause
+        # lets other VMs take it, as between two terms of one holder.
+        await trio.sleep(duties.lease_terms(vm_settings.bounds.lease_s).rest_s)
+    scopes = {duties.SCOPE: functools.partial(_run_duties, process)}
     roster = process.node.roster
 
-    def scopes_here() -> dict[str, lease.Role]:
-        # Each look at the lease is a call to the store; a few VMs that look
-        # are enough to have it taken.
+    def offered_scopes() -> dict[str, lease.Role]:
+        # Only hubs compete, because each check of the lease is a store call.
         return scopes if roster.is_hub() else {}
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(process.leases.run, scopes_here)
+        nursery.start_soon(process.leases.run, offered_scopes)
         while True:
             process.leases.candidates = process.members.candidates(
-                duties.watch_s(found.bounds.lease_s),
+                duties.watch_s(vm_settings.bounds.lease_s),
                 {hub.name for hub in roster.hubs()},
             )
             await trio.sleep(duties.LOOK_S)
 
 
 def request_grace_s(grace_s: float) -> float:
-    """Return how long after a stop is asked for requests may end.
+    """Return how long requests may still run after a stop is requested.
 
-    Replicas that are at work in the last sixth of the grace are given up.
+    No request is ended before the last sixth of the grace period.
     """
-    left_s = grace.LAST_ANSWERS_S + FINAL_WRITES_S
-    return max(REQUEST_GRACE_SHARE * grace_s, grace_s - left_s)
+    reserved_s = grace.LAST_ANSWERS_S + FINAL_WRITES_S
+    return max(REQUEST_GRACE_SHARE * grace_s, grace_s - reserved_s)
 
 
 def connection_grace_s(grace_s: float) -> float:
-    """Return how long after a stop is asked for connections may last."""
+    """Return how long connections may last after a stop is requested."""
     return min(request_grace_s(grace_s) + grace.LAST_ANSWERS_S, grace_s)
 
 
 def _idle_limit_s(node: nodes.Node) -> float:
-    """Return how long callers may leave a connection idle and reuse it."""
-    found = node.active_config.catalog
-    return found.limits.idle_s if found else 0.0
+    """Return how long callers may reuse an idle connection."""
+    active_catalog = node.active_config.catalog
+    return active_catalog.limits.idle_s if active_catalog else 0.0
 
 
-async def _leave(node: nodes.Node, asked: trio.Event) -> None:
-    """Return when callers have been told to go elsewhere."""
-    await asked.wait()
+async def _drain(node: nodes.Node, stop_requested: trio.Event) -> None:
+    """Wait for a stop, then drain until the load balancer has noticed."""
+    await stop_requested.wait()
     loguru.logger.bind(event=events.STOPPING).info('stopping')
     node.draining.set()
     node.grace.end_in(request_grace_s(node.deployment.bounds.grace_s))
@@ -325,14 +334,14 @@
 
 async def run(
     file: pathlib.Path,
-    found: deployment.Deployment,
+    vm_settings: deployment.Deployment,
     env_settings: environment.EnvironmentSettings = environment.DEFAULTS,
 ) -> None:
-    """Serve until stopped, then let running requests end."""
-    asked = serving.catch_stop()
-    live = deployment.LiveSettings(found)
-    callers = serving.listen(found.callers_address)
-    ready_sock = serving.listen(found.ready_address)
+    """Serve until stopped, then let running requests complete."""
+    stop_requested = serving.catch_stop()
+    live = deployment.LiveSettings(vm_settings)
+    callers = serving.listen(vm_settings.callers_address)
+    ready_sock = serving.listen(vm_settings.ready_address)
     async with trio.open_nursery() as nursery:
         process = make_process_parts(live, nursery)
         node = process.node
@@ -340,7 +349,9 @@
         nursery.start_soon(reloader.run)
         apps = [(ready.make_app(node), ready_sock)]
         if env_settings.metrics_port is not None:
-            sock = serving.listen(f'{found.ip}:{env_settings.metrics_port}')
+            sock = serving.listen(
+                f'{vm_settings.ip}:{env_settings.metrics_port}'
+            )
             apps.append((ready.make_metrics_app(), sock))
         for app, sock in apps:
             nursery.start_soon(
@@ -348,16 +359,17 @@
                     serving.serve, app, sock, ready.never, READY_GRACE_S
                 )
             )
-        for work in _background(process):
+        for work in _background_tasks(process):
             nursery.start_soon(restart_on_fault, work)
         async with trio.open_nursery() as duty_nursery:
-            duty_nursery.start_soon(_hold_duties, process)
+            duty_nursery.start_soon(_campaign_for_duties, process)
             loguru.logger.bind(event=events.STARTED).info('serving')
             await serving.serve(
                 handler.make_app(node),
                 callers,
-                functools.partial(_leave, node, asked),
-                connection_grace_s(found.bounds.grace_s) - BALANCER_DRAIN_S,
+                functools.partial(_drain, node, stop_requested),
+                connection_grace_s(vm_settings.bounds.grace_s)
+                - BALANCER_DRAIN_S,
                 keep_alive_s=env_settings.keep_alive_s,
                 least_keep_alive_s=functools.partial(_idle_limit_s, node),
             )
@@ -368,36 +380,36 @@
         nursery.cancel_scope.cancel()
 
 
-def _leaves(error: BaseException) -> list[BaseException]:
+def _leaf_errors(error: BaseException) -> list[BaseException]:
     if not isinstance(error, BaseExceptionGroup):
         return [error]
-    return [leaf for part in error.exceptions for leaf in _leaves(part)]
+    return [leaf for part in error.exceptions for leaf in _leaf_errors(part)]
 
 
 def log_unexpected_exit(
     error: Exception, writer: line_writer.LineWriter
 ) -> None:
-    """Log why the process ends by itself, and see the line out.
+    """Log why the process exits unexpectedly, and flush the line.
 
-    The lines of the requests that are cut come just before, and may have
-    used up the rate and filled the buffer.
+    Log lines of the requests that are cut off come just before; they may
+    have exhausted the rate limit and filled the buffer.
     """
-    why = '; '.join(f'{type(e).__name__}: {e}' for e in _leaves(error))
+    reason = '; '.join(f'{type(e).__name__}: {e}' for e in _leaf_errors(error))
     writer.drain(LAST_LINE_TIMEOUT_S)
     writer.admit_last()
     loguru.logger.opt(exception=error).bind(
         event=events.ENDED,
-        error=why,
+        error=reason,
         requests_cut=connections.requests_cut(connections.End.PROCESS_ENDED),
-    ).critical('the process ends by itself')
+    ).critical('the process exits on an unexpected error')
     writer.drain(LAST_LINE_TIMEOUT_S)
 
 
-def _run(file: pathlib.Path, found: deployment.Deployment) -> None:
+def _run(file: pathlib.Path, vm_settings: deployment.Deployment) -> None:
     writer = line_writer.LineWriter(sys.stdout.fileno(), time.monotonic)
-    logs.setup('INFO', found.vm, found.failure_domain, writer)
+    logs.setup('INFO', vm_settings.vm, vm_settings.failure_domain, writer)
     try:
-        trio.run(run, file, found, environment.read(os.environ))
+        trio.run(run, file, vm_settings, environment.read(os.environ))
     except errors.UserError:
         raise
     except Exception as error:
@@ -406,7 +418,7 @@
 
 
 def main() -> None:
-    """Read settings and run; a bad setting is told in one line."""
+    """Read the settings and run; print a settings error as one line."""
     try:
         file = settings.path()
         _run(file, settings.read(file))
--- a/gentianstair/gateway/node.py
+++ b/gentianstair/gateway/node.py
@@ -1,4 +1,4 @@
-"""Hold the parts of one gateway process that its tasks share."""
+"""Hold the components that the tasks of a gateway process share."""
 
 import typing
 
@@ -23,24 +23,24 @@
 
 
 class ActiveConfig:
-    """The configuration in force; it only ever gets newer."""
+    """The active configuration; its version only increases."""
 
     def __init__(self) -> None:
         self.catalog: catalog.Catalog | None = None
-        # Set when there is one.
+        # Set once a configuration has been applied.
         self.loaded = trio.Event()
 
-    def apply(self, found: catalog.Catalog) -> bool:
-        """Put a catalog in force; say whether it is newer."""
-        if self.catalog and found.version <= self.catalog.version:
+    def apply(self, new_catalog: catalog.Catalog) -> bool:
+        """Activate a catalog if it is newer; return whether it was."""
+        if self.catalog and new_catalog.version <= self.catalog.version:
             return False
-        self.catalog = found
+        self.catalog = new_catalog
         self.loaded.set()
         return True
 
 
 class Node(typing.NamedTuple):
-    """What the tasks of a process work with."""
+    """The shared components of one gateway process."""
 
     live_settings: deployment.LiveSettings
     clock: clocks.Clock
@@ -58,10 +58,10 @@
     transport: transports.Transport
     store: stores.Store
     usage: usage.Counts
-    # Set at a planned stop: answers close their connections.
+    # Set at a planned stop; responses then close their connections.
     draining: trio.Event
     grace: grace.Grace
-    # Runs what must outlive a request, such as freeing a KV cache.
+    # Runs tasks that outlive a request, such as freeing a KV cache.
     nursery: trio.Nursery
 
     def is_synced(self) -> bool:
@@ -77,5 +77,5 @@
 
     @property
     def deployment(self) -> deployment.Deployment:
-        """Return the settings in force."""
+        """Return the current settings."""
         return self.live_settings.current
--- a/gentianstair/gateway/reload.py
+++ b/gentianstair/gateway/reload.py
@@ -1,4 +1,4 @@
-"""Read the settings again when they change, with or without a signal."""
+"""Reload the settings file on SIGHUP and when it changes."""
 
 import collections.abc
 import pathlib
@@ -11,14 +11,14 @@
 from gentianstair.gateway import deployment
 from gentianstair.generated import events
 
-# The file may change without a signal; it is read this often.
+# How often the file is read without a signal.
 POLL_INTERVAL_S = 2.0
 
 ReadSettings = collections.abc.Callable[[pathlib.Path], deployment.Deployment]
 
 
 class Reloader:
-    """Puts changed settings in force; a bad file changes nothing."""
+    """Apply changed settings; an invalid file changes nothing."""
 
     def __init__(
         self,
@@ -29,13 +29,13 @@
         self._file = file
         self._live = live
         self._read = read
-        # The last complaint, so that a file that stays bad is told once.
+        # The last error, so that a file that stays invalid is logged once.
         self._last_error = ''
 
     def check(self) -> None:
-        """Read the file once."""
+        """Read the file once and apply its settings if they changed."""
         try:
-            found = self._read(self._file)
+            settings = self._read(self._file)
         except errors.SettingsError as error:
             if str(error) != self._last_error:
                 loguru.logger.bind(event=events.SETTINGS_BAD).error(
@@ -44,23 +44,25 @@
             self._last_error = str(error)
             return
         self._last_error = ''
-        if found == self._live.current:
+        if settings == self._live.current:
             return
         changed = [
             name
-            for name in found._fields
-            if getattr(found, name) != getattr(self._live.current, name)
+            for name in settings._fields
+            if getattr(settings, name) != getattr(self._live.current, name)
         ]
         loguru.logger.bind(event=events.SETTINGS, changed=changed).info(
-            'changed settings are in force: {}', ', '.join(changed)
+            'applied changed settings: {}', ', '.join(changed)
         )
-        self._live.current = found
+        self._live.current = settings
 
     async def run(self) -> None:
-        """Look at each SIGHUP and every POLL_INTERVAL_S, until cancelled."""
+        """Check on each SIGHUP and every POLL_INTERVAL_S, until cancelled."""
         with trio.open_signal_receiver(signal.SIGHUP) as signals:
             while True:
                 with trio.move_on_after(POLL_INTERVAL_S):
                     await anext(signals)
-                    loguru.logger.bind(event=events.RELOAD).info('reloading')
+                    loguru.logger.bind(event=events.RELOAD).info(
+                        'SIGHUP received, reloading the settings'
+                    )
                 self.check()
--- a/gentianstair/gateway/request_state.py
+++ b/gentianstair/gateway/request_state.py
@@ -1,4 +1,4 @@
-"""Hold one caller's request while it is served, and its story so far."""
+"""Hold the state of one caller's request and of its attempts at replicas."""
 
 import typing
 
@@ -14,24 +14,24 @@
 from gentianstair.gateway import replicas
 from gentianstair.generated import events
 
-# A request may be sent once more than it may run: a replica that is full or
-# has left says that it did not run it, and another may have room.
+# Attempts beyond the route's maximum. A replica that is full or draining
+# answers that it did not run the request, and another may have room.
 EXTRA_ATTEMPTS = 1
-# Replicas without a connection that one request is tried at; it may take half
-# a second to find out, and callers wait some seconds.
+# Most replicas that one request may fail to connect to. Each failure may take
+# the whole connect timeout.
 MAX_UNREACHABLE_ATTEMPTS = 4
-# Told to callers when a replica was full or has just left: some answers end
-# in that time, and the next look at the store shows who is there.
+# Least Retry-After when no replica could take a request. By then some
+# running requests have ended and the list of replicas is up to date.
 RETRY_AFTER_S = 0.4
-# How long after the store a VM may learn that a replica drains, with what a
-# copy from it takes.
+# How long a replica may have been draining before this VM learns of it, and
+# the time to copy KV cache from it.
 DRAIN_NOTICE_DELAY_S = 0.8
-# An attempt with less time left than this is not worth a replica's work.
+# No attempt is made with less time than this to the deadline.
 MIN_REMAINING_S = 0.03
 
 
 class RequestState:
-    """One request: what it asks, where it went, what is known of it."""
+    """A request, its deadline, and the outcome of its attempts so far."""
 
     def __init__(
         self,
@@ -53,18 +53,20 @@
         self.customer = customer
         self.deadline_s = deadline_s
         self.verdict = verdicts.Verdict.NOT_RUN
-        # Sendings that reached a replica, or may have.
+        # Attempts that reached a replica, or may have.
         self.attempts = 0
         self.unreachable_attempts = 0
-        # When a stream's first event and its newest were passed on.
+        # Times at which the first and the latest event went to the caller.
         self.first_event_s: float | None = None
         self.last_event_s: float | None = None
         self.longest_pause_s = 0.0
-        # Of those sent, the reads of the prompt that failed.
+        # Failed prefill attempts, which are counted in ``attempts`` too.
         self.failed_prefills = 0
+        # Attempts that ran the request, or may have.
         self.possible_runs = 0
         self.tried_replicas: set[str] = set()
-        # The newest failure that a replica itself answered with.
+        # The latest error response of a replica, for the caller if no other
+        # attempt succeeds.
         self.failure_response: forward.ReplicaResponse | None = None
 
     @property
@@ -73,71 +75,83 @@
         return self.customer.name if self.customer else None
 
     def remaining_s(self) -> float:
-        """Return how long the caller waits and this process serves."""
+        """Return the time to the deadline or the end of the grace period."""
         left_s = max(0.0, self.deadline_s - self.node.clock())
         return min(left_s, self.node.grace.left_s())
 
     def priority(self) -> int:
-        """Return the rank for replicas; a customer's goes first."""
+        """Return the customer's priority, or else the route's."""
         if self.customer and self.customer.priority is not None:
             return self.customer.priority
         return self.route.priority
 
     def make_attempt(
-        self, replica: replicas.Replica, **more: typing.Any
+        self, replica: replicas.Replica, **options: typing.Any
     ) -> calls.Attempt:
-        """Return this call as it goes to a replica now."""
+        """Return an attempt at a replica with the time that remains."""
         return calls.Attempt(
-            replica, self.customer_name, self.remaining_s(), self.body, **more
+            replica,
+            self.customer_name,
+            self.remaining_s(),
+            self.body,
+            **options,
         )
 
     def candidates(self) -> list[replicas.Replica]:
-        """Return the replicas to choose from, the untried ones first.
+        """Return the replicas that this request has not tried yet.
 
-        Replicas that fail are left out while others are there.
+        Ejected replicas are left out while there are others.
         """
         now_s = self.node.clock()
-        found = self.node.registry.usable(self.service)
-        good = [
+        usable = self.node.registry.usable(self.service)
+        healthy = [
             replica
-            for replica in found
-            if self.node.ejector.usable(self._key(replica), now_s)
+            for replica in usable
+            if self.node.ejector.usable(self._ejector_key(replica), now_s)
+        ]
+        untried = [
+            r for r in healthy or usable if r.name not in self.tried_replicas
+        ]
+        return untried or [
+            r for r in usable if r.name not in self.tried_replicas
         ]
-        fresh = [r for r in good or found if r.name not in self.tried_replicas]
-        return fresh or [r for r in found if r.name not in self.tried_replicas]
 
     def kv_copy_sources(self) -> list[replicas.Replica]:
-        """Return the replicas from whose memory parts may be copied.
+        """Return the replicas from which KV cache may be copied.
 
-        A copy from one that has gone has all of it read anew, beside which
-        everything that is queued there waits.
+        Replicas that may be gone before the copy ends are left out: the
+        prefill would start over and delay what is queued behind it.
         """
         now_s = self.node.clock()
-        leaving_s = self.node.deployment.bounds.drain_s - DRAIN_NOTICE_DELAY_S
+        drain_limit_s = (
+            self.node.deployment.bounds.drain_s - DRAIN_NOTICE_DELAY_S
+        )
         return [
             replica
-            for replica in self.node.registry.keeping(self.service, leaving_s)
-            if self.node.ejector.usable(self._key(replica), now_s)
+            for replica in self.node.registry.keeping(
+                self.service, drain_limit_s
+            )
+            if self.node.ejector.usable(self._ejector_key(replica), now_s)
         ]
 
-    def _key(self, replica: replicas.Replica) -> str:
+    def _ejector_key(self, replica: replicas.Replica) -> str:
         return forward.ejector_key(self.service, replica.name)
 
     def begin_attempt(self, replica: replicas.Replica) -> float:
-        """Note a sending; return its time."""
+        """Record the start of an attempt; return its time."""
         now_s = self.node.clock()
         self.attempts += 1
         self.tried_replicas.add(replica.name)
-        self.node.ejector.started(self._key(replica), now_s)
+        self.node.ejector.started(self._ejector_key(replica), now_s)
         return now_s
 
     def record_success(
         self, replica: replicas.Replica, started_s: float
     ) -> None:
-        """Tell the ejector that a sending went well."""
+        """Report a successful attempt to the ejector."""
         now_s = self.node.clock()
         self.node.ejector.report(
-            self._key(replica), True, now_s - started_s, now_s
+            self._ejector_key(replica), True, now_s - started_s, now_s
         )
 
     def record_failure(
@@ -145,21 +159,22 @@
         replica: replicas.Replica,
         error: errors.UpstreamError,
         started_s: float,
-        **told: typing.Any,
+        **log_fields: typing.Any,
     ) -> None:
-        """Take the failure of a sending to a replica; told goes to the log.
+        """Record and log a failed attempt; log_fields are added to the log.
 
-        A replica that turned it away is full or has changed, not faulty.
+        A replica that turned the request away is full or has restarted; the
+        ejector does not count that as a fault.
         """
         now_s = self.node.clock()
-        key = self._key(replica)
+        key = self._ejector_key(replica)
         if isinstance(error, errors.UnreachableError):
             self.attempts -= 1
             self.unreachable_attempts += 1
             self.node.ejector.unreachable(key, now_s)
             loguru.logger.bind(
                 event=events.REPLICA_UNREACHABLE, replica=replica.name
-            ).info('no connection to a replica; it is passed over')
+            ).info('could not connect to a replica; skipping it for now')
         elif not isinstance(error, errors.TurnedAwayError):
             self.node.ejector.report(key, False, now_s - started_s, now_s)
         self.record_verdict(error.verdict)
@@ -169,31 +184,34 @@
             replica=replica.name,
             verdict=error.verdict.name,
             took_s=round(now_s - started_s, 3),
-            **told,
+            **log_fields,
         )
 
     def record_verdict(self, verdict: verdicts.Verdict) -> None:
-        """Take what a sending says of the request's effect."""
+        """Combine an attempt's verdict with that of earlier ones."""
         self.verdict = verdicts.combine(self.verdict, verdict)
         if verdict is not verdicts.Verdict.NOT_RUN:
             self.possible_runs += 1
 
-    def may_retry(self, last: verdicts.Verdict) -> bool:
-        """Say whether a request may be sent once more after a failure."""
+    def may_retry(self, last_verdict: verdicts.Verdict) -> bool:
+        """Return whether another attempt may follow a failed one."""
         if self.remaining_s() < MIN_REMAINING_S:
             return False
-        if last is not verdicts.Verdict.NOT_RUN and not self.route.repeatable:
+        if (
+            last_verdict is not verdicts.Verdict.NOT_RUN
+            and not self.route.repeatable
+        ):
             return False
-        most = self.route.max_attempts
+        max_runs = self.route.max_attempts
         if (
-            self.possible_runs >= most
-            or self.attempts >= most + EXTRA_ATTEMPTS
+            self.possible_runs >= max_runs
+            or self.attempts >= max_runs + EXTRA_ATTEMPTS
         ):
             return False
         return self.unreachable_attempts < MAX_UNREACHABLE_ATTEMPTS
 
     def record_event_sent(self) -> None:
-        """Note that an event of a stream goes to the caller now."""
+        """Record that an event of a stream goes to the caller now."""
         now_s = self.node.clock()
         if self.last_event_s is not None:
             pause_s = now_s - self.last_event_s
@@ -201,17 +219,17 @@
         self.last_event_s = now_s
 
     def spend_retry(self) -> bool:
-        """Spend a repeat if the next sending is one; say whether it may go.
+        """Charge the retry budget; return whether the next attempt may go.
 
-        The users count what arrives at a service beyond the first of each
-        request, so the first arrival is none.
+        The first attempt of a request is free. Failed prefills do not count
+        as first attempts.
         """
         if self.attempts == self.failed_prefills:
             return True
         return self.node.repeats.take(self.service)
 
     def log(self, event: str, message: str, **fields: typing.Any) -> None:
-        """Log one decision on this request."""
+        """Log an event of this request."""
         loguru.logger.bind(
             event=event,
             request_id=self.call.request_id,
@@ -220,22 +238,22 @@
             **fields,
         ).info(message)
 
-    def no_time_error(self, wait_s: float) -> errors.RequestError:
-        """Return the error of a request that can't be served in its time.
+    def no_time_error(self, queued_s: float) -> errors.RequestError:
+        """Return the error of a request that can't meet its deadline.
 
-        wait_s is how long what is queued before it takes; until then a
-        request like it fares no better.
+        queued_s is the estimated queueing time; an earlier retry would be
+        refused too.
         """
         return errors.RequestError(
             503,
             'no-time',
-            'what is queued takes longer than the caller waits',
+            'the queue is longer than the time to the deadline',
             self.verdict,
-            max(RETRY_AFTER_S, wait_s),
+            max(RETRY_AFTER_S, queued_s),
         )
 
     def final_error(self) -> errors.RequestError:
-        """Return the final error, true to what is known of the effect."""
+        """Return the error that ends the request, according to its verdict."""
         if self.verdict is verdicts.Verdict.NOT_RUN:
             return errors.RequestError(
                 503,
--- a/gentianstair/gateway/run_record.py
+++ b/gentianstair/gateway/run_record.py
@@ -1,4 +1,4 @@
-"""Take how reads of prompts went: for the log, the costs and the caches."""
+"""Record how prefills and runs went in log, cost model and prefix cache."""
 
 from gentianstair.gateway import calls
 from gentianstair.gateway import placement
@@ -14,11 +14,11 @@
     plan: placement.Plan,
     took_s: float,
 ) -> None:
-    """Take a prompt that was read, took_s after it was sent."""
+    """Record a prefill that ended took_s after its attempt began."""
     node = request.node
     request.log(
         events.READ,
-        'a prompt was read',
+        'prefill completed',
         replica=replica.name,
         stage=replica.stage,
         unread_tokens=plan.unread_tokens,
@@ -40,30 +40,32 @@
 
 
 class ReplicaRun:
-    """One run at a maker, from its sending to the first event and its end."""
+    """One attempt at a decode replica, from its start to its end."""
 
     def __init__(
         self,
         request: request_state.RequestState,
         prompt: calls.Prompt,
-        maker: replicas.Replica,
+        decode_replica: replicas.Replica,
         plan: placement.Plan | None,
     ) -> None:
         self._request = request
         self._prompt = prompt
-        self._maker = maker
-        # None if the prompt has been read elsewhere.
+        self._decode_replica = decode_replica
+        # None if another replica has prefilled the prompt.
         self._plan = plan
         node = request.node
         self._started_s = node.clock()
         work_s = plan.work_s if plan else 0.0
         more_s = plan.more_s if plan else 0.0
         ends_s = self._started_s + (plan.read_s if plan else 0.0)
-        self._load = node.loads.begin(maker.name, work_s, ends_s, more_s)
+        self._load = node.loads.begin(
+            decode_replica.name, work_s, ends_s, more_s
+        )
         self.first_event_s: float | None = None
 
     def record_event(self) -> bool:
-        """Note an event; say whether it is the run's first."""
+        """Record an event; return whether it is the run's first."""
         if self.first_event_s is not None:
             return False
         node = self._request.node
@@ -72,22 +74,28 @@
         self._load.read()
         took_s = self.first_event_s - self._started_s
         if self._plan is None:
-            self._record_kv_move(took_s)
+            self._record_kv_transfer(took_s)
         else:
             record_prefill(
-                self._request, self._prompt, self._maker, self._plan, took_s
+                self._request,
+                self._prompt,
+                self._decode_replica,
+                self._plan,
+                took_s,
             )
         return True
 
-    def _record_kv_move(self, took_s: float) -> None:
+    def _record_kv_transfer(self, took_s: float) -> None:
         self._request.log(
             events.MOVED,
-            'the first event came',
-            replica=self._maker.name,
+            'first event after a KV cache transfer',
+            replica=self._decode_replica.name,
             took_s=round(took_s, 3),
         )
-        self._request.node.cache.confirm(self._maker.name, self._prompt)
+        self._request.node.cache.confirm(
+            self._decode_replica.name, self._prompt
+        )
 
     def finish(self) -> None:
-        """Count the run as over."""
+        """Remove the run from the load of its replica."""
         self._request.node.loads.end(self._load)
--- a/gentianstair/gateway/streaming.py
+++ b/gentianstair/gateway/streaming.py
@@ -1,9 +1,8 @@
-"""Serve a streamed request: its events as they come, over several replicas.
+"""Serve a streamed request by forwarding the events of its replicas.
 
-The prompt is read by one replica and the output made by the same or by
-another one, to which the KV cache is moved. Where a route's streams may be
-resumed, one whose replica is lost goes on at another after the last event
-that was passed on.
+One replica prefills the prompt. The same one decodes, or another one to which
+the KV cache is moved. If the route allows it, a stream that loses its replica
+is resumed at another one after the last event that was forwarded.
 """
 
 import math
@@ -25,22 +24,23 @@
 from gentianstair.generated import events
 from gentianstair.platform import wire
 
-# A replica whose stream pauses for so many times the longest pause that is
-# on time is taken for lost. Callers give up after eight of those.
-SILENT_PAUSES = 4.0
-LEAST_SILENCE_S = 1.2
-# A plan may be wrong by half; beyond that there is no hope.
-HOPELESS_TIMES = 1.5
+# A replica is considered lost when its stream pauses for this many times the
+# route's pause objective. Callers give up after eight times.
+STALL_PAUSES = 4.0
+MIN_STALL_TIMEOUT_S = 1.2
+# A request is refused when the expected time to its first event exceeds the
+# remaining time by this factor, which allows for errors of the estimate.
+REFUSAL_FACTOR = 1.5
 LOWEST_PRIORITY = 9
-# Replicas rank requests from 0; requests with a rank of their own begin here
-# and leave room above for streams that go on after a loss.
-FIRST_ATTEMPT_PRIORITY = 2
-# The engines' defaults when a service of streams says nothing of them.
-ENGINE = catalog.Engine(64, 100000, 16384, 100000.0, 5.0, 3.0, ())
+# Added to a request's priority at a replica, where 0 comes first; lower
+# numbers are left for resumed streams.
+PRIORITY_OFFSET = 2
+# Used when the configuration gives no engine for a streaming service.
+DEFAULT_ENGINE = catalog.Engine(64, 100000, 16384, 100000.0, 5.0, 3.0, ())
 
 
 class StreamingResponse:
-    """One streamed answer."""
+    """Serve one streamed request, with retries and resumption."""
 
     def __init__(
         self,
@@ -49,39 +49,39 @@
     ):
         self._request = request
         self._node = request.node
-        self._engine = engine or ENGINE
+        self._engine = engine or DEFAULT_ENGINE
         self._prompt = request.call.prompt or calls.Prompt('', 0, 0, ())
         self._events = event_stream.EventBuffer()
-        self._read = prompt_read.PromptRead(
+        self._prompt_read = prompt_read.PromptRead(
             request, self._prompt, self._engine
         )
-        # Passed through when a replica itself refuses or fails.
-        self.answer: forward.ReplicaResponse | None = None
+        # A replica's response that is no stream and goes to the caller as is.
+        self.response: forward.ReplicaResponse | None = None
 
     async def serve(self) -> forward.ReplicaResponse | None:
-        """Stream to the caller; return an answer that is no stream.
+        """Stream to the caller, or return a response that is no stream.
 
-        Raise RequestError when there is nothing to pass on.
+        Raise RequestError when there is nothing to forward.
         """
         request = self._request
         try:
             while True:
-                plan = self._plan()
+                plan = self._make_plan()
                 if plan is None:
                     break
-                if self._is_hopeless(plan):
+                if self._cannot_meet_deadline(plan):
                     raise request.no_time_error(plan.queued_s)
                 if not request.spend_retry():
                     break
                 try:
-                    await self._run(plan)
-                    return self.answer
+                    await self._run_plan(plan)
+                    return self.response
                 except errors.UpstreamError as error:
                     if not request.may_retry(error.verdict):
                         break
                 self._events.discard_partial()
         finally:
-            self._read.free()
+            self._prompt_read.free()
         if (
             request.failure_response is not None
             and not request.exchange.started
@@ -89,20 +89,20 @@
             return request.failure_response
         raise request.final_error()
 
-    def _is_hopeless(self, plan: placement.Plan) -> bool:
-        """Return whether a request is sure not to be served in time.
+    def _cannot_meet_deadline(self, plan: placement.Plan) -> bool:
+        """Return whether a request can't get its first event in time.
 
-        Sent all the same it would only keep others waiting. What was sent
-        before, or is half answered, goes on for as long as it may.
+        Serving it would only delay others. A request that may have run
+        already is never refused here.
         """
         request = self._request
         if request.verdict is not verdicts.Verdict.NOT_RUN:
             return False
         if self._prompt.tokens > self._engine.kv_tokens:
             return True
-        return plan.expected_s > HOPELESS_TIMES * request.remaining_s()
+        return plan.expected_s > REFUSAL_FACTOR * request.remaining_s()
 
-    def _plan(self) -> placement.Plan | None:
+    def _make_plan(self) -> placement.Plan | None:
         request = self._request
         plan = self._node.placement.stream(
             request.candidates(),
@@ -125,157 +125,175 @@
             )
         return plan
 
-    async def _run(self, plan: placement.Plan) -> None:
-        if plan.reader is not None and self._read.source is None:
-            if self._read.may_read():
-                await self._read.read(plan, self._priority())
+    async def _run_plan(self, plan: placement.Plan) -> None:
+        if plan.reader is not None and self._prompt_read.source is None:
+            if self._prompt_read.may_read():
+                await self._prompt_read.read(plan, self._priority())
             else:
-                plan = self._without_reader(plan)
-        source = self._read.source
-        if source is None:
-            await self._make(plan.maker, None, plan)
+                plan = self._without_prefill_replica(plan)
+        kv_source = self._prompt_read.source
+        if kv_source is None:
+            await self._run_at_replica(plan.maker, None, plan)
             return
         try:
-            await self._make(self._maker_now(), source, None)
-            self._read.taken()
+            await self._run_at_replica(
+                self._choose_decode_replica(), kv_source, None
+            )
+            self._prompt_read.taken()
         except errors.UpstreamError as error:
-            self._read.not_taken(error)
+            self._prompt_read.not_taken(error)
             raise
 
-    def _without_reader(self, plan: placement.Plan) -> placement.Plan:
-        """Have the maker read the prompt: one arrival in place of two."""
-        direct = self._node.placement.stream(
+    def _without_prefill_replica(self, plan: placement.Plan) -> placement.Plan:
+        """Return a plan in which the decode replica prefills the prompt too.
+
+        It needs one attempt instead of two.
+        """
+        direct_plan = self._node.placement.stream(
             [plan.maker], self._prompt, self._engine, len(self._request.body)
         )
-        assert direct is not None
-        return direct
+        assert direct_plan is not None
+        return direct_plan
 
-    def _maker_now(self) -> replicas.Replica:
-        """Return the maker for a prompt that has just been read.
+    def _choose_decode_replica(self) -> replicas.Replica:
+        """Choose the decode replica once the prompt has been prefilled.
 
-        A read may take seconds. The maker that was in mind may be leaving
-        by now and must get no more work, and others may have less to do.
+        Prefill may take seconds; by now the planned replica may be draining
+        or others may have less load.
         """
         request = self._request
-        maker = self._node.placement.maker(
+        decode_replica = self._node.placement.maker(
             request.candidates(), len(request.body)
         )
-        if maker is None:
+        if decode_replica is None:
             raise errors.UpstreamError(
-                'nobody makes output now', verdicts.Verdict.NOT_RUN
+                'no decode replica is available', verdicts.Verdict.NOT_RUN
             )
-        return maker
+        return decode_replica
 
     def _priority(self) -> int:
-        if self._events.complete_events:
+        if self._events.event_count:
             return 0
-        return min(
-            LOWEST_PRIORITY, FIRST_ATTEMPT_PRIORITY + self._request.priority()
-        )
+        return min(LOWEST_PRIORITY, PRIORITY_OFFSET + self._request.priority())
 
-    async def _make(
+    async def _run_at_replica(
         self,
-        maker: replicas.Replica,
-        source: calls.KvSource | None,
+        decode_replica: replicas.Replica,
+        kv_source: calls.KvSource | None,
         plan: placement.Plan | None,
     ) -> None:
-        """Have the output made and pass it on.
+        """Run the request at a replica and forward its events.
 
-        Without a plan there is nothing to read: the source holds it.
+        Without a plan the prompt has been prefilled; kv_source holds its KV
+        cache.
         """
         request, node = self._request, self._node
         copy = plan.copy if plan else placement.NO_COPY
-        started_s = request.begin_attempt(maker)
+        started_s = request.begin_attempt(decode_replica)
         if self._prompt.parts:
-            node.cache.expect(maker.name, self._prompt, self._engine.kv_tokens)
-        sending = request.make_attempt(
-            maker,
-            kv_source=source,
+            node.cache.expect(
+                decode_replica.name, self._prompt, self._engine.kv_tokens
+            )
+        attempt = request.make_attempt(
+            decode_replica,
+            kv_source=kv_source,
             kv_copy_address=copy.address,
             last_event_id=self._resume_event_id(),
             priority=self._priority(),
         )
-        run = run_record.ReplicaRun(request, self._prompt, maker, plan)
+        run = run_record.ReplicaRun(
+            request, self._prompt, decode_replica, plan
+        )
         try:
             async with forward.open_response(
-                node, request.call, sending
-            ) as found:
-                await self._pass_on(found, run)
+                node, request.call, attempt
+            ) as response:
+                await self._forward_events(response, run)
         except errors.UpstreamError as error:
             request.record_failure(
-                maker, error, started_s, events=self._events.complete_events
+                decode_replica,
+                error,
+                started_s,
+                events=self._events.event_count,
             )
             raise
         finally:
             run.finish()
-        request.record_success(maker, run.first_event_s or started_s)
+        request.record_success(decode_replica, run.first_event_s or started_s)
 
     def _resume_event_id(self) -> str | None:
         return self._events.last_id or self._request.call.last_event_id
 
-    async def _pass_on(
-        self, found: httpx.Response, run: run_record.ReplicaRun
+    async def _forward_events(
+        self, response: httpx.Response, run: run_record.ReplicaRun
     ) -> None:
         request = self._request
-        verdict = wire.verdict_of(found)
-        if found.status_code != 200:
-            await self._refused(found, verdict)
+        verdict = wire.verdict_of(response)
+        if response.status_code != 200:
+            await self._handle_non_stream(response, verdict)
             return
-        silence_s = max(LEAST_SILENCE_S, SILENT_PAUSES * request.route.pause_s)
-        stream = aiter(found.stream)
-        # The first event may have to wait for its turn.
-        limit_s = math.inf
+        stall_timeout_s = max(
+            MIN_STALL_TIMEOUT_S, STALL_PAUSES * request.route.pause_s
+        )
+        stream = aiter(response.stream)
+        # The first event may be queued for long, so it has no limit here.
+        timeout_s = math.inf
         while True:
             data = None
-            with trio.move_on_after(limit_s):
+            with trio.move_on_after(timeout_s):
                 data = await anext(stream, b'')
             if data is None:
                 raise errors.UpstreamError(
-                    f'silent for {silence_s:g} s', verdicts.Verdict.RAN
+                    f'no event for {stall_timeout_s:g} s', verdicts.Verdict.RAN
                 )
             if not data:
                 break
-            whole = self._events.feed(data)
-            if not whole:
+            complete_events = self._events.feed(data)
+            if not complete_events:
                 continue
             if run.record_event():
-                limit_s = silence_s
-                await self._start(found)
+                timeout_s = stall_timeout_s
+                await self._start_response(response)
             request.record_event_sent()
-            await request.exchange.write(whole)
+            await request.exchange.write(complete_events)
         if (
             not self._events.at_event_boundary()
-            or not self._events.complete_events
+            or not self._events.event_count
         ):
             raise errors.UpstreamError(
-                'the stream ends in an event', verdicts.Verdict.RAN
+                'the stream ended before an event was complete',
+                verdicts.Verdict.RAN,
             )
         request.record_verdict(verdicts.Verdict.RAN)
         await request.exchange.end()
 
-    async def _start(self, found: httpx.Response) -> None:
+    async def _start_response(self, response: httpx.Response) -> None:
         request = self._request
         if not request.exchange.started:
             request.first_event_s = request.node.clock()
-            await request.exchange.start(200, wire.answer_headers(found))
+            await request.exchange.start(200, wire.answer_headers(response))
 
-    async def _refused(
-        self, found: httpx.Response, verdict: verdicts.Verdict
+    async def _handle_non_stream(
+        self, response: httpx.Response, verdict: verdicts.Verdict
     ) -> None:
-        """Take an answer that is no stream."""
-        answer = await forward.read_response(found)
+        """Handle a response that is no stream; raise if it is a failure."""
+        replica_response = await forward.read_response(response)
         request = self._request
-        if answer.status < 500 and verdict is verdicts.Verdict.RAN:
+        if replica_response.status < 500 and verdict is verdicts.Verdict.RAN:
             request.record_verdict(verdict)
             if request.exchange.started:
                 raise errors.UpstreamError(
-                    f'a resumption was answered {answer.status}', verdict
+                    f'a resumed stream got status {replica_response.status}',
+                    verdict,
                 )
-            self.answer = answer
+            self.response = replica_response
             return
         if verdict is verdicts.Verdict.NOT_RUN:
             raise errors.TurnedAwayError(
-                f'it answered {answer.status}', answer.status
+                f'the replica responded with {replica_response.status}',
+                replica_response.status,
             )
-        request.failure_response = answer
-        raise errors.UpstreamError(f'it answered {answer.status}', verdict)
+        request.failure_response = replica_response
+        raise errors.UpstreamError(
+            f'the replica responded with {replica_response.status}', verdict
+        )
--- a/gentianstair/gateway/unary.py
+++ b/gentianstair/gateway/unary.py
@@ -1,4 +1,4 @@
-"""Serve a request of a plain service: one whole answer."""
+"""Serve a unary request: one whole response, with retries."""
 
 import trio
 
@@ -8,25 +8,25 @@
 from gentianstair.gateway import replicas
 from gentianstair.gateway import request_state
 
-# A repeatable request is tried elsewhere when a replica is silent for this
-# many times the objective, if that leaves as much time again.
-SILENCE_OBJECTIVES = 3.0
+# A repeatable request is retried elsewhere when a replica takes this many
+# times the route's objective, if at least as much time remains for the retry.
+ATTEMPT_TIMEOUT_OBJECTIVES = 3.0
 
 
 async def serve(
     request: request_state.RequestState,
 ) -> forward.ReplicaResponse:
-    """Return a replica's answer; raise RequestError if there is none."""
+    """Return a replica's response; raise RequestError if there is none."""
     while True:
         replica = request.node.placement.plain(request.candidates())
         if replica is None or not request.spend_retry():
             break
         started_s = request.begin_attempt(replica)
         try:
-            answer = await _try(request, replica)
-            request.record_verdict(answer.verdict)
+            response = await _attempt(request, replica)
+            request.record_verdict(response.verdict)
             request.record_success(replica, started_s)
-            return answer
+            return response
         except errors.UpstreamError as error:
             request.record_failure(replica, error, started_s)
             if not request.may_retry(error.verdict):
@@ -36,48 +36,48 @@
     raise request.final_error()
 
 
-def _limit_s(request: request_state.RequestState) -> float:
+def _attempt_timeout_s(request: request_state.RequestState) -> float:
     """Return how long to wait for one replica."""
-    left_s = request.remaining_s()
-    silence_s = SILENCE_OBJECTIVES * request.route.objective_s
-    last = request.possible_runs + 1 >= request.route.max_attempts
-    if last or not request.route.repeatable or left_s < 2 * silence_s:
-        return left_s
-    return silence_s
+    remaining_s = request.remaining_s()
+    timeout_s = ATTEMPT_TIMEOUT_OBJECTIVES * request.route.objective_s
+    is_last = request.possible_runs + 1 >= request.route.max_attempts
+    if is_last or not request.route.repeatable or remaining_s < 2 * timeout_s:
+        return remaining_s
+    return timeout_s
 
 
-async def _try(
+async def _attempt(
     request: request_state.RequestState, replica: replicas.Replica
 ) -> forward.ReplicaResponse:
-    """Return the answer of one replica; raise UpstreamError without one."""
+    """Return the response of one replica; raise UpstreamError on failure."""
     node = request.node
-    sent = node.loads.begin(replica.name)
+    load = node.loads.begin(replica.name)
     try:
-        with trio.move_on_after(_limit_s(request)):
-            answer = await forward.fetch_response(
+        with trio.move_on_after(_attempt_timeout_s(request)):
+            response = await forward.fetch_response(
                 node, request.call, request.make_attempt(replica)
             )
-            if answer.verdict is verdicts.Verdict.RAN:
+            if response.verdict is verdicts.Verdict.RAN:
                 node.usage.began(request.customer_name)
-            return _checked(request, answer)
+            return _check_response(request, response)
     finally:
-        node.loads.end(sent)
+        node.loads.end(load)
     raise errors.UpstreamError(
         'no answer in time', verdicts.Verdict.MAY_HAVE_RUN
     )
 
 
-def _checked(
-    request: request_state.RequestState, answer: forward.ReplicaResponse
+def _check_response(
+    request: request_state.RequestState, response: forward.ReplicaResponse
 ) -> forward.ReplicaResponse:
-    """Return an answer that may go on to the caller at once."""
-    if answer.verdict is verdicts.Verdict.NOT_RUN:
+    """Return a response for the caller; raise if it is a failure."""
+    if response.verdict is verdicts.Verdict.NOT_RUN:
         raise errors.TurnedAwayError(
-            f'it answered {answer.status}', answer.status
+            f'the replica responded with {response.status}', response.status
         )
-    if answer.status >= 500:
-        request.failure_response = answer
+    if response.status >= 500:
+        request.failure_response = response
         raise errors.UpstreamError(
-            f'it answered {answer.status}', answer.verdict
+            f'the replica responded with {response.status}', response.verdict
         )
-    return answer
+    return response
