--- a/test/gateway/gateways.py
+++ b/test/gateway/gateways.py
@@ -1,4 +1,4 @@
-"""Run gateway processes' parts inside a test, in front of a small site."""
+"""Run gateways inside the test process in front of a small site."""
 
 import contextlib
 
@@ -21,7 +21,10 @@
 
 
 class Gateway:
-    """One running gateway and a caller's client for it."""
+    """One running gateway and a caller's client for it.
+
+    ``values`` holds the values in its settings file, such as its ports.
+    """
 
     def __init__(self, values, scope):
         self.values = values
@@ -30,22 +33,22 @@
         self.client = httpx.AsyncClient(base_url=self.url, trust_env=False)
 
     def headers(self, request_id, **more):
-        found = {
+        values = {
             'host': HOST,
             'x-request-id': request_id,
             'x-request-deadline-ms': '3000',
             'authorization': f'Bearer {KEY}',
         }
-        return {**found, **more}
+        return {**values, **more}
 
     async def call(self, method, path, request_id='r1', **more):
-        """Make one call as a caller does; more are headers."""
+        """Send one request; more holds additional headers."""
         return await self.client.request(
             method, path, headers=self.headers(request_id, **more)
         )
 
     async def first_answer(self):
-        """Return the first answer that a starting process gives."""
+        """Return the first response of a gateway that is starting."""
         with trio.fail_after(START_S):
             while True:
                 try:
@@ -63,14 +66,16 @@
 
 
 def values_for(site, **changed):
-    found = {name: ports.free_port() for name in ('front', 'ready', 'control')}
-    found.update(store=site.store_port, cloud=site.cloud_port, **changed)
-    return found
+    values = {
+        name: ports.free_port() for name in ('front', 'ready', 'control')
+    }
+    values.update(store=site.store_port, cloud=site.cloud_port, **changed)
+    return values
 
 
 @contextlib.asynccontextmanager
 async def running(site, tmp_path, count=1, **changed):
-    """Yield gateways that are ready; they are cancelled at the end."""
+    """Yield gateways that are ready; cancel them at the end."""
     gateways = []
     async with trio.open_nursery() as nursery:
         control = None
@@ -95,7 +100,8 @@
             for gateway in gateways:
                 while not await gateway.ready():
                     await trio.sleep(0.02)
-            # A registry is read about when the configuration is.
+            # Wait for the registry, which is read about when the
+            # configuration is.
             await trio.sleep(0.3)
         yield gateways
         nursery.cancel_scope.cancel()
@@ -103,7 +109,7 @@
 
 @contextlib.asynccontextmanager
 async def starting(site, tmp_path):
-    """Yield a gateway from the moment of its start."""
+    """Yield a gateway that has just been started."""
     values = values_for(site)
     file = tmp_path / 'settings.toml'
     file.write_text(samples.settings(**values))
--- a/test/gateway/samples.py
+++ b/test/gateway/samples.py
@@ -1,4 +1,4 @@
-"""Samples of what the platform gives a process."""
+"""Provide a sample of the settings file that the platform writes."""
 
 _SETTINGS = """
 node = "front-a-1"
@@ -61,5 +61,5 @@
 
 
 def settings(**changed):
-    """Return a settings file with some values changed."""
+    """Return the text of a settings file with some values changed."""
     return _SETTINGS.format(**{**_DEFAULTS, **changed})
--- a/test/gateway/test_background.py
+++ b/test/gateway/test_background.py
@@ -1,4 +1,4 @@
-"""Test that background work cannot end the process."""
+"""Test how failed background work is restarted."""
 
 import pytest
 import trio
@@ -7,26 +7,26 @@
 from gentianstair.gateway import main
 
 
-async def test_work_that_fails_is_begun_anew(autojump_clock):
-    """A peer's odd message raises an error that nobody foresaw.
+async def test_unexpected_error_restarts_background_work(autojump_clock):
+    """Guard against an unexpected error that ends the whole process.
 
-    It ended the process, and with it all requests that it served. The work
-    must go on instead, after a pause.
+    Such an error, for example from a peer's malformed message, must only
+    restart the work after a pause.
     """
-    begun = []
+    starts_s = []
 
     async def work():
-        begun.append(trio.current_time())
-        if len(begun) < 3:
-            raise OSError('unforeseen')
+        starts_s.append(trio.current_time())
+        if len(starts_s) < 3:
+            raise OSError('unexpected')
 
     with trio.fail_after(60):
         await main.restart_on_fault(work)
-    assert len(begun) == 3
-    assert begun[2] - begun[0] == pytest.approx(2 * main.FAULT_BACKOFF_S)
+    assert len(starts_s) == 3
+    assert starts_s[2] - starts_s[0] == pytest.approx(2 * main.FAULT_BACKOFF_S)
 
 
-async def test_lost_authority_ends_a_duty(autojump_clock):
+async def test_lost_lease_ends_duty_without_restart(autojump_clock):
     async def work():
         raise errors.LeaseLostError('lapsed')
 
--- a/test/gateway/test_caller_gone.py
+++ b/test/gateway/test_caller_gone.py
@@ -1,4 +1,4 @@
-"""Test what a caller's closing does to its request."""
+"""Test that a caller's disconnect cancels its request."""
 
 import contextlib
 import select
@@ -9,11 +9,11 @@
 from standins.site import site as sites
 from test.gateway import gateways
 
-SOON_S = 0.5
-PROMPT_S = 5.0
+CANCEL_S = 0.5
+SETUP_TIMEOUT_S = 5.0
 
 
-async def ask(gateway, stream):
+async def send_request(gateway, stream):
     """Send a whole request on a connection."""
     headers = gateway.headers('r1', **gateways.PROMPT)
     lines = [f'{name}: {value}' for name, value in headers.items()]
@@ -23,36 +23,39 @@
     await stream.send_all(head.encode() + b'\r\n\r\n')
 
 
-@pytest.mark.parametrize('half', [True, False])
-async def test_a_caller_that_closes_its_side_has_gone(tmp_path, half):
-    # A close and a half-close are one FIN; a replica that worked on for half
-    # a second for callers that have gone would break the users' rule.
+@pytest.mark.parametrize('half', [True, False], ids=['half-close', 'close'])
+async def test_close_or_half_close_cancels_the_request(tmp_path, half):
+    # Guards against replicas that keep working for a disconnected caller. A
+    # half-close can't be told from a close: both send a FIN.
     async with sites.running() as site:
-        makers = [r for r in site.replicas if r.stage == 'decode']
-        for maker in makers:
-            maker.events = 1000
+        decode_replicas = [r for r in site.replicas if r.stage == 'decode']
+        for replica in decode_replicas:
+            replica.events = 1000
         async with gateways.running(site, tmp_path) as (gateway,):
             stream = await trio.open_tcp_stream(
                 '127.0.0.1', gateway.values['front']
             )
-            with trio.fail_after(PROMPT_S):
-                await ask(gateway, stream)
+            with trio.fail_after(SETUP_TIMEOUT_S):
+                await send_request(gateway, stream)
                 await stream.receive_some()
                 if half:
                     await stream.send_eof()
                 else:
                     await stream.aclose()
-            with trio.fail_after(SOON_S):
-                while not sum(maker.cancelled for maker in makers):
+            with trio.fail_after(CANCEL_S):
+                while not sum(
+                    replica.cancelled for replica in decode_replicas
+                ):
                     await trio.sleep(0.01)
             if half:
-                with trio.fail_after(PROMPT_S):
+                with trio.fail_after(SETUP_TIMEOUT_S):
                     while await stream.receive_some():
                         pass
 
 
-async def test_a_close_looks_as_a_half_close_until_something_is_sent():
-    # Told apart, a half-close could be answered; only a sending tells it.
+async def test_close_and_half_close_differ_only_after_a_send():
+    # Checks the kernel behaviour that the test above relies on: only sending
+    # to a caller tells its half-close from its close.
     found = {}
     listeners = await trio.open_tcp_listeners(0, host='127.0.0.1')
     port = listeners[0].socket.getsockname()[1]
--- a/test/gateway/test_cut_connections.py
+++ b/test/gateway/test_cut_connections.py
@@ -1,4 +1,4 @@
-"""Test that a cut request's log says who closed its connection, and why."""
+"""Test that logs say who closed the connection of a request, and why."""
 
 import io
 import socket
@@ -21,16 +21,16 @@
 from standins.site import site as sites
 from test.gateway import gateways
 
-PROMPT_S = 5.0
+WAIT_S = 5.0
 GRACE_S = 0.5
 
 
-class Play:
-    """A caller whose request is under way at a replica."""
+class Disconnect:
+    """Ways to end the connection of a request that runs at a replica."""
 
     def __init__(self, stream, client, servers, stop):
         self.stream = stream
-        # Of HTTP/2, where the request was made so.
+        # The client's HTTP/2 connection state, None for HTTP/1.1.
         self.client = client
         self.servers = servers
         self.stop = stop
@@ -52,13 +52,13 @@
         server.connection.note(connections.End.KEEP_ALIVE_OVER)
         await server.stream.aclose()
 
-    async def outlast_the_grace(self):
+    async def outlast_grace_period(self):
         self.stop.set()
 
 
 @pytest.fixture
-def text():
-    """Hold what is logged, as the process would write it."""
+def log_lines_written():
+    """Collect log lines as the process would write them."""
     lines = []
 
     def keep(message):
@@ -71,16 +71,16 @@
 
 @pytest.fixture
 def servers(monkeypatch):
-    """Hold each connection's server."""
-    found = []
-    made = serving._Server.__init__
+    """Collect the server of each connection."""
+    servers_made = []
+    original_init = serving._Server.__init__
 
     def make(self, *args):
-        made(self, *args)
-        found.append(self)
+        original_init(self, *args)
+        servers_made.append(self)
 
     monkeypatch.setattr(serving._Server, '__init__', make)
-    return found
+    return servers_made
 
 
 def request(gateway):
@@ -99,11 +99,11 @@
     return client.data_to_send()
 
 
-async def seen(text, event):
-    """Return the line of an event of the request."""
-    with trio.fail_after(PROMPT_S):
+async def wait_for_line(log_lines_written, event):
+    """Wait for the log line of an event of the request."""
+    with trio.fail_after(WAIT_S):
         while True:
-            for line in read(text):
+            for line in parse_lines(log_lines_written):
                 if (line.get('event'), line.get('request_id')) == (
                     event,
                     'r1',
@@ -112,43 +112,45 @@
             await trio.sleep(0.01)
 
 
-def read(text):
-    return list(log_lines.Reader([io.BytesIO(''.join(text).encode())]))
+def parse_lines(log_lines_written):
+    return list(
+        log_lines.Reader([io.BytesIO(''.join(log_lines_written).encode())])
+    )
 
 
 @pytest.mark.parametrize(
-    ('act', 'event', 'end', 'status', 'cause'),
+    ('disconnect', 'event', 'end', 'status', 'cause'),
     [
         (
-            Play.reset,
+            Disconnect.reset,
             events.CALLER_GONE,
             'caller-reset',
             499,
             losses.Cause.CALLER_GONE,
         ),
         (
-            Play.half_close,
+            Disconnect.half_close,
             events.CALLER_GONE,
             'caller-ended',
             499,
             losses.Cause.CALLER_GONE,
         ),
         (
-            Play.reset_stream,
+            Disconnect.reset_stream,
             events.CALLER_GONE,
             'stream-reset',
             499,
             losses.Cause.CALLER_GONE,
         ),
         (
-            Play.close_here,
+            Disconnect.close_here,
             events.CLOSED_HERE,
             'keep-alive-over',
             444,
             losses.Cause.CLOSED_HERE,
         ),
         (
-            Play.outlast_the_grace,
+            Disconnect.outlast_grace_period,
             None,
             'grace-over',
             444,
@@ -156,14 +158,24 @@
         ),
     ],
 )
-async def test_who_closed_under_a_request(
-    act, event, end, status, cause, tmp_path, monkeypatch, text, servers
+async def test_log_names_the_side_that_closed(
+    disconnect,
+    event,
+    end,
+    status,
+    cause,
+    tmp_path,
+    monkeypatch,
+    log_lines_written,
+    servers,
 ):
-    # Guards against a close of our own that is logged as a caller's going.
+    # Guards against a close by this process that is logged as a disconnect of
+    # the caller.
     stop = trio.Event()
     monkeypatch.setattr(serving, 'catch_stop', lambda: stop)
     monkeypatch.setattr(main, 'BALANCER_DRAIN_S', 0.0)
-    # A request that is not told of the stop, or its answer would come first.
+    # Keep the request running past the grace period instead of ending it with
+    # a response.
     monkeypatch.setattr(grace.Grace, 'end_in', lambda *_: None)
     async with sites.running() as site:
         desks = [r for r in site.replicas if r.service == 'desk']
@@ -177,41 +189,45 @@
             )
             client = None
             data = request(gateway)
-            if act is Play.reset_stream:
+            if disconnect is Disconnect.reset_stream:
                 client = h2.connection.H2Connection()
                 data = request_stream(client, gateway)
             await stream.send_all(data)
-            with trio.fail_after(PROMPT_S):
+            with trio.fail_after(WAIT_S):
                 while not sum(len(desk.runs) for desk in desks):
                     await trio.sleep(0.01)
-            await act(Play(stream, client, servers, stop))
-            answer = await seen(text, events.ANSWER)
+            await disconnect(Disconnect(stream, client, servers, stop))
+            answer = await wait_for_line(log_lines_written, events.ANSWER)
             if client is None:
-                await seen(text, events.CONNECTION_CUT)
+                await wait_for_line(log_lines_written, events.CONNECTION_CUT)
             await stream.aclose()
     assert answer['status'] == status
-    # A replica has it: "not run" would blame nobody for what it did.
+    # A replica received the request, so it may have run.
     if event is not None:
         assert answer['verdict'] == 'MAY_HAVE_RUN'
-    lines = read(text)
-    told = [
+    lines = parse_lines(log_lines_written)
+    logged_ends = [
         (line['event'], line['end'], line['closed_by'])
         for line in lines
         if line.get('event') in (events.CALLER_GONE, events.CLOSED_HERE)
     ]
     side = connections.End(end).closed_by.value
-    assert told == ([(event, end, side)] if event else [])
-    cut = [
+    assert logged_ends == ([(event, end, side)] if event else [])
+    cut_lines = [
         (line['end'], line['closed_by'], line['requests'])
         for line in lines
         if line.get('event') == events.CONNECTION_CUT
-        # The stand-ins' own have no request's id.
+        # Connections of the stand-ins have no request id.
         and line['request_id'] == 'r1'
     ]
-    # An HTTP/2 connection goes on.
-    assert cut == ([(end, side, 1)] if client is None else [])
+    # An HTTP/2 connection stays open when one stream is reset.
+    assert cut_lines == ([(end, side, 1)] if client is None else [])
     judge = losses.Judge()
-    lost = [found for line in read(text) if (found := judge.take(line))]
+    lost = [
+        found
+        for line in parse_lines(log_lines_written)
+        if (found := judge.take(line))
+    ]
     assert [one.cause for one in lost] == [cause]
-    story = [row.event for row in stories.of_request(lines, 'r1')]
-    assert (events.CONNECTION_CUT in story) == bool(cut)
+    story_events = [row.event for row in stories.of_request(lines, 'r1')]
+    assert (events.CONNECTION_CUT in story_events) == bool(cut_lines)
--- a/test/gateway/test_early_signals.py
+++ b/test/gateway/test_early_signals.py
@@ -1,4 +1,4 @@
-"""Test signals that come while a process is still starting."""
+"""Test signals that arrive while a process is still starting."""
 
 import signal
 
@@ -21,15 +21,14 @@
 
 
 @pytest.mark.process
-async def test_reloads_during_the_start_end_nothing(gateway):
-    """Settings change while a killed process is starting again.
+async def test_sighup_during_the_start_does_not_end_the_process(gateway):
+    """Guard against a SIGHUP that terminates a process during its imports.
 
-    The signal that says so must not end it once more: until its imports are
-    done nobody waits for signals, and the system's own action is to end it.
+    Its handler is not installed by then, and the default action terminates.
     """
     async with sites.running() as site:
         start(gateway, site)
-        # The interpreter itself needs a moment before any of our code runs.
+        # Wait until the interpreter runs the first lines of the package.
         await trio.sleep(0.15)
         with trio.fail_after(processes.START_S):
             while not await gateway.is_ready():
--- a/test/gateway/test_environment.py
+++ b/test/gateway/test_environment.py
@@ -1,4 +1,4 @@
-"""Test the settings that come from the environment."""
+"""Test the settings from environment variables."""
 
 import pytest
 
@@ -10,16 +10,17 @@
 
 
 @pytest.mark.parametrize(
-    ('environ', 'found'),
+    ('environ', 'expected'),
     [
         ({}, (None, None)),
         ({PORT: '9464'}, (9464, None)),
         ({KEEP_ALIVE: '3.5'}, (None, 3.5)),
         ({PORT: '1', KEEP_ALIVE: '3600'}, (1, 3600.0)),
     ],
+    ids=['none', 'port', 'keep-alive', 'both'],
 )
-def test_settings_are_read(environ, found):
-    assert environment.read(environ) == found
+def test_valid_variables_are_read(environ, expected):
+    assert environment.read(environ) == expected
 
 
 @pytest.mark.parametrize(
@@ -37,7 +38,7 @@
         (KEEP_ALIVE, 'soon'),
     ],
 )
-def test_a_bad_setting_is_named(name, text):
-    # A typing error would be served with, or end in a trace.
+def test_error_names_the_invalid_variable(name, text):
+    # Guards against an invalid value that is ignored or ends in a traceback.
     with pytest.raises(errors.SettingsError, match=name):
         environment.read({name: text})
--- a/test/gateway/test_idle_limit.py
+++ b/test/gateway/test_idle_limit.py
@@ -1,4 +1,4 @@
-"""Test how long a gateway keeps idle connections of callers."""
+"""Test how long a gateway keeps idle connections of callers open."""
 
 import copy
 
@@ -10,16 +10,17 @@
 
 
 @pytest.mark.parametrize('limit_s', [15, 200])
-async def test_no_connection_is_closed_that_callers_may_reuse(
+async def test_keep_alive_covers_the_time_callers_reuse_connections(
     limit_s, tmp_path, monkeypatch
 ):
-    # Callers reuse it for four fifths of the limit, and met our close.
+    # Guards against a close while callers may still reuse a connection, which
+    # they do for four fifths of the limit.
     config = copy.deepcopy(sites.CONFIG)
     config['limits']['idle_timeout_ms'] = limit_s * 1000
     monkeypatch.setattr(sites, 'CONFIG', config)
     async with sites.running() as site:
         async with gateways.running(site, tmp_path) as (gateway,):
             answer = await gateway.call('GET', '/lookup/entry', 'r1')
-    told_s = int(answer.headers['keep-alive'].removeprefix('timeout='))
-    assert told_s >= 0.8 * limit_s
-    assert told_s < max(limit_s, serving.KEEP_ALIVE_S)
+    keep_alive_s = int(answer.headers['keep-alive'].removeprefix('timeout='))
+    assert keep_alive_s >= 0.8 * limit_s
+    assert keep_alive_s < max(limit_s, serving.KEEP_ALIVE_S)
--- a/test/gateway/test_kept_connections.py
+++ b/test/gateway/test_kept_connections.py
@@ -1,4 +1,4 @@
-"""Test that a gateway cuts off no request of a kept connection."""
+"""Test that closing keep-alive connections drops no accepted request."""
 
 import re
 import socket
@@ -15,11 +15,11 @@
 from test.gateway import gateways
 from test.util import kept
 
-# Turns of the event loop from the stop, with one caller each.
+# Turns of the event loop after the stop, with one request each.
 TURNS = 20
 CALLERS = 10
-# How long the event loop is held up, to the end of the idle time.
-HOLD_S = 0.3
+# How long the event loop is blocked, to the end of the idle timeout.
+BLOCK_S = 0.3
 SETTLE_S = 0.05
 WAIT_S = 10.0
 DONE = re.compile(rb'done by (i-desk-\d)')
@@ -33,9 +33,10 @@
 
 
 async def _connect_kept(gateway, names):
-    """Return callers that had an answer at the same time, by name.
+    """Return callers by name, each with one completed request.
 
-    So the gateway has connections to replicas that it can use at once.
+    The requests run concurrently, so the gateway has as many idle connections
+    to replicas.
     """
     address = ('127.0.0.1', gateway.values['front'])
     callers = {name: await TRANSPORT.connect(address) for name in names}
@@ -47,38 +48,38 @@
     return callers
 
 
-def _note_requests(monkeypatch, module, name):
-    """Return the ids of the requests that the module's application gets."""
+def _track_requests(monkeypatch, module, name):
+    """Return a list to which the module's app adds its requests' ids."""
     ids = []
     make_app = getattr(module, name)
 
-    def make_noting_app(*args):
+    def make_tracking_app(*args):
         app = make_app(*args)
 
-        async def note(scope, receive, send):
+        async def track(scope, receive, send):
             headers = dict(scope.get('headers', []))
             ids.append(headers.get(b'x-request-id', b'').decode())
             await app(scope, receive, send)
 
-        return note
+        return track
 
-    monkeypatch.setattr(module, name, make_noting_app)
+    monkeypatch.setattr(module, name, make_tracking_app)
     return ids
 
 
-async def _send_by_turns(gateway, callers):
+async def _send_one_per_turn(gateway, callers):
     for name, caller in callers.items():
         caller.send(_request(gateway, name))
         TRANSPORT.wait_arrival()
         await trio.lowlevel.checkpoint()
 
 
-class Play:
-    """Callers of a gateway, and which requests it got and passed on."""
+class RequestTracker:
+    """Track which requests reach the gateway's app and the replicas."""
 
     def __init__(self, monkeypatch):
-        self.given = _note_requests(monkeypatch, handler, 'make_app')
-        self.passed_on = _note_requests(monkeypatch, replicas, 'create_app')
+        self.received = _track_requests(monkeypatch, handler, 'make_app')
+        self.forwarded = _track_requests(monkeypatch, replicas, 'create_app')
         self.callers = {}
 
     async def read_to_end(self):
@@ -86,56 +87,58 @@
             for caller in self.callers.values():
                 await caller.read_to_end()
 
-    def check(self):
-        cut_off = {
+    def check_none_dropped(self):
+        dropped = {
             name
             for name, caller in self.callers.items()
             if len(DONE.findall(caller.data)) < 2
         }
-        assert not cut_off.intersection(self.passed_on)
-        assert not cut_off.intersection(self.given)
+        assert not dropped.intersection(self.forwarded)
+        assert not dropped.intersection(self.received)
 
 
-orders = pytest.mark.parametrize('last_first', [False, True])
+orders = pytest.mark.parametrize(
+    'last_first', [False, True], ids=['woken-first', 'woken-last']
+)
 
 
 @orders
-async def test_a_stop_cuts_off_no_request_that_was_passed_on(
+async def test_stop_drops_no_received_request(
     tmp_path, monkeypatch, last_first
 ):
     stop = trio.Event()
     monkeypatch.setattr(serving, 'catch_stop', lambda: stop)
     monkeypatch.setattr(main, 'BALANCER_DRAIN_S', 0.0)
-    play = Play(monkeypatch)
+    tracker = RequestTracker(monkeypatch)
     names = [f'turn-{turn}' for turn in range(TURNS)]
     async with sites.running() as site:
         async with gateways.running(site, tmp_path) as (gateway,):
-            play.callers = await _connect_kept(gateway, names)
+            tracker.callers = await _connect_kept(gateway, names)
             kept.set_order(monkeypatch, [last_first])
             stop.set()
-            await _send_by_turns(gateway, play.callers)
-            await play.read_to_end()
-    play.check()
+            await _send_one_per_turn(gateway, tracker.callers)
+            await tracker.read_to_end()
+    tracker.check_none_dropped()
 
 
 @orders
-async def test_the_idle_time_cuts_off_no_request_that_was_passed_on(
+async def test_idle_timeout_drops_no_received_request(
     tmp_path, monkeypatch, last_first
 ):
-    play = Play(monkeypatch)
+    tracker = RequestTracker(monkeypatch)
     names = [f'caller-{number}' for number in range(CALLERS)]
-    # Connections are kept for the longer of this limit and our own time.
+    # Connections are kept for the longer of this limit and KEEP_ALIVE_S.
     limits = sites.CONFIG['limits']
-    monkeypatch.setitem(limits, 'idle_timeout_ms', 1000 * HOLD_S)
+    monkeypatch.setitem(limits, 'idle_timeout_ms', 1000 * BLOCK_S)
     async with sites.running() as site:
-        # Replicas keep their connections to the gateway.
-        monkeypatch.setattr(serving, 'KEEP_ALIVE_S', HOLD_S)
+        # Patched once the replicas run, which keep their connections.
+        monkeypatch.setattr(serving, 'KEEP_ALIVE_S', BLOCK_S)
         async with gateways.running(site, tmp_path) as (gateway,):
-            play.callers = await _connect_kept(gateway, names)
+            tracker.callers = await _connect_kept(gateway, names)
             await trio.sleep(SETTLE_S)
             kept.set_order(monkeypatch, [last_first])
-            for name, caller in play.callers.items():
+            for name, caller in tracker.callers.items():
                 caller.send(_request(gateway, name))
-            time.sleep(HOLD_S)
-            await play.read_to_end()
-    play.check()
+            time.sleep(BLOCK_S)
+            await tracker.read_to_end()
+    tracker.check_none_dropped()
--- a/test/gateway/test_own_end.py
+++ b/test/gateway/test_own_end.py
@@ -1,4 +1,4 @@
-"""Test that a gateway that ends by itself says why in its last line."""
+"""Test that a gateway logs the cause of an unexpected exit."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 from test.gateway import samples
 
 END_S = 20.0
-# Ends when a request has been under way for a moment.
+# A gateway that fails shortly after a request has started.
 SCRIPT = """
 import trio
 from gentianstair.gateway import handler, main
@@ -30,7 +30,7 @@
 
 
 async def call(gateway):
-    """Make one request; its answer does not matter."""
+    """Send one request and read until the connection closes."""
     stream = await trio.open_tcp_stream('127.0.0.1', gateway.values['front'])
     headers = gateway.headers('r1').items()
     lines = [f'{name}: {value}' for name, value in headers]
@@ -42,8 +42,8 @@
 
 
 @pytest.mark.process
-async def test_a_process_that_ends_by_itself_says_why(tmp_path):
-    # Guards against cut requests whose process only shows a new start.
+async def test_last_log_line_has_the_cause_of_an_unexpected_exit(tmp_path):
+    # Guards against an exit whose only trace in the log is the next start.
     async with sites.running() as site:
         for replica in site.replicas:
             replica.faults.silent = True
--- a/test/gateway/test_path.py
+++ b/test/gateway/test_path.py
@@ -1,4 +1,4 @@
-"""Test the whole path: callers, gateway, replicas, store and duties."""
+"""Test the gateway end to end with callers, replicas, store and cloud."""
 
 import subprocess
 import sys
@@ -12,11 +12,11 @@
 from test.gateway import gateways
 
 
-def makers(site):
+def decode_replicas(site):
     return [r for r in site.replicas if r.stage == 'decode']
 
 
-async def test_a_stream_is_read_moved_and_passed_on(tmp_path):
+async def test_stream_is_prefilled_and_decoded_at_two_replicas(tmp_path):
     async with sites.running() as site:
         async with gateways.running(site, tmp_path) as (gateway,):
             answer = await gateway.call(
@@ -25,29 +25,30 @@
         assert answer.status_code == 200
         assert answer.headers['x-response-signature'].startswith('signed-by')
         assert answer.text.count('data: word') == 5
-        runs = [run for maker in makers(site) for run in maker.runs]
+        runs = [
+            run for replica in decode_replicas(site) for run in replica.runs
+        ]
         assert [run.request_id for run in runs] == ['s1']
         assert runs[0].customer == 'club'
         assert not runs[0].key_shown
-        # Each handle was taken or freed.
+        # Each KV cache handle was fetched or freed.
         assert site.replica('i-reader').handles == {}
 
 
-async def test_what_a_leaving_replica_keeps_is_copied(tmp_path):
-    """The replica that has read a long shared part leaves.
+async def test_kv_cache_is_copied_from_a_draining_replica(tmp_path):
+    """Guard against a prefill of parts that a draining replica still caches.
 
-    The callers of that part waited until another one had read it anew,
-    though the one that leaves keeps it for some seconds more.
+    It keeps them for some seconds, in which they can be copied.
     """
     async with sites.running() as site:
-        warm = site.replica('i-reader')
-        warm.kept = {'c0de': 13300}
-        warm.changes = [[1, '+', '', 'c0de', 13300, 'm']]
+        caching = site.replica('i-reader')
+        caching.kept = {'c0de': 13300}
+        caching.changes = [[1, '+', '', 'c0de', 13300, 'm']]
         async with gateways.running(site, tmp_path) as (gateway,):
-            # Until the gateway has heard what the replica keeps.
+            # Wait until the gateway knows what the replica caches.
             await trio.sleep(1)
-            warm.draining = True
-            # Until it has heard that the replica leaves.
+            caching.draining = True
+            # Wait until it knows that the replica drains.
             await trio.sleep(1)
             headers = {
                 'x-model': 'm',
@@ -56,18 +57,20 @@
             }
             answer = await gateway.call('POST', '/ask/rule', 'k', **headers)
             assert answer.status_code == 200
-        assert warm.arrivals == 0
-        copied = [maker.copied for maker in makers(site) if maker.runs]
+        assert caching.arrivals == 0
+        copied = [
+            replica.copied for replica in decode_replicas(site) if replica.runs
+        ]
         assert copied == [['c0de']]
 
 
 @pytest.mark.parametrize('tokens', [90000, 5000000])
-async def test_what_cannot_be_served_in_time_is_refused_at_once(
+async def test_request_that_cannot_meet_its_deadline_is_refused_at_once(
     tmp_path, tokens
 ):
-    """A prompt takes longer to read than its caller waits.
+    """Guard against a prefill that can't meet the deadline.
 
-    It was read all the same until the deadline, and others waited behind.
+    It would delay other requests for nothing.
     """
     async with sites.running() as site:
         async with gateways.running(site, tmp_path) as (gateway,):
@@ -90,20 +93,19 @@
         assert sum(replica.arrivals for replica in site.replicas) == 0
 
 
-async def test_a_gap_in_cache_events_is_closed(tmp_path):
-    """All VMs lost power. The replicas still keep the prompts' shared parts.
+async def test_cache_list_is_read_after_missed_cache_events(tmp_path):
+    """Guard against new processes that miss what replicas have cached.
 
-    They tell only their newest changes, so the new processes took the rest
-    for gone and had long prompts read anew, elsewhere.
+    Replicas send only their latest cache events; the rest must be listed.
     """
     async with sites.running() as site:
-        warm = site.replica('i-maker-1')
-        warm.kept = {'c0de': 13300, 'beef': 900}
-        warm.changes = [
+        caching = site.replica('i-maker-1')
+        caching.kept = {'c0de': 13300, 'beef': 900}
+        caching.changes = [
             [1, '+', '', 'c0de', 13300, 'm'],
             [2, '+', '', 'beef', 900, 'm'],
         ]
-        warm.forgotten = 1
+        caching.forgotten = 1
         async with gateways.running(site, tmp_path, 2) as found:
             await trio.sleep(1)
             for number, gateway in enumerate(found):
@@ -116,22 +118,22 @@
                     'POST', '/ask/rule', f'k{number}', **headers
                 )
                 assert answer.status_code == 200
-        assert warm.lists_read == 2
-        kept_or_copied = warm.arrivals + sum(
+        assert caching.lists_read == 2
+        kept_or_copied = caching.arrivals + sum(
             'c0de' in replica.copied for replica in site.replicas
         )
         assert kept_or_copied >= 2
 
 
-async def test_a_stream_goes_on_where_its_replica_stopped(tmp_path):
-    """A replica is lost in the middle of an event.
+async def test_stream_resumes_at_another_replica_without_gap(tmp_path):
+    """Guard against lost or repeated events when a replica is lost.
 
-    The caller sees one whole answer: the two events that were passed on,
-    and the rest from another replica that was asked to go on after them.
+    The caller gets two events of the first replica and the rest of another,
+    which resumes the stream after them.
     """
     async with sites.running() as site:
-        for maker in makers(site):
-            maker.faults.breaks_after = 2
+        for replica in decode_replicas(site):
+            replica.faults.breaks_after = 2
         async with gateways.running(site, tmp_path) as (gateway,):
             answer = await gateway.call(
                 'POST', '/ask/rule', 's2', **gateways.PROMPT
@@ -140,21 +142,25 @@
         words = [f'word{number}' for number in range(1, 6)]
         found = [line[6:] for line in text.split('\n') if 'data' in line]
         assert found == words
-        firsts = [run.first_event for m in makers(site) for run in m.runs]
+        firsts = [
+            run.first_event for m in decode_replicas(site) for run in m.runs
+        ]
         assert sorted(firsts) == [1, 3]
 
 
-async def test_a_stream_that_may_not_be_resumed_is_cut(tmp_path):
-    """A broken stream of such a route must not look complete."""
+async def test_broken_stream_of_unresumable_route_does_not_look_complete(
+    tmp_path,
+):
+    """Guard against a truncated stream that looks complete."""
     async with sites.running() as site:
-        for maker in makers(site):
-            maker.faults.breaks_after = 2
+        for replica in decode_replicas(site):
+            replica.faults.breaks_after = 2
         async with gateways.running(site, tmp_path) as (gateway,):
             with pytest.raises(httpx.RemoteProtocolError):
                 await gateway.call(
                     'POST', '/draft/one', 's3', **gateways.PROMPT
                 )
-        assert sum(len(maker.runs) for maker in makers(site)) == 1
+        assert sum(len(replica.runs) for replica in decode_replicas(site)) == 1
 
 
 @pytest.mark.parametrize(
@@ -169,18 +175,30 @@
         ('GET', '/lookup/entry', {'x-request-deadline-ms': 'soon'}, 400),
         ('GET', '/lookup/entry', {'x-request-deadline-ms': '10'}, 503),
     ],
+    ids=[
+        'valid-key',
+        'public-route',
+        'unknown-path',
+        'unknown-host',
+        'unknown-key',
+        'no-key',
+        'invalid-deadline',
+        'deadline-too-short',
+    ],
 )
-async def test_what_a_caller_gets(tmp_path, method, path, headers, status):
+async def test_status_and_reusable_connection(
+    tmp_path, method, path, headers, status
+):
     async with sites.running() as site:
         async with gateways.running(site, tmp_path) as (gateway,):
             answer = await gateway.call(method, path, **headers)
             assert answer.status_code == status
-            # The connection is good for the next request.
+            # The connection can be used for the next request.
             again = await gateway.call('GET', '/lookup/entry', 'r2')
             assert again.status_code == 200
 
 
-async def test_headers_of_the_system_are_its_own(tmp_path):
+async def test_caller_cannot_forge_internal_headers(tmp_path):
     async with sites.running() as site:
         async with gateways.running(site, tmp_path) as (gateway,):
             forged = {
@@ -206,17 +224,26 @@
 @pytest.mark.parametrize(
     ('path', 'fault', 'status', 'runs'),
     [
-        # May have run: never sent again, and not called not run.
+        # May have run: not retried, and not reported as not run.
         ('/register/x', {'silent': True}, 504, 1),
         ('/register/x', {'fails_with': 500}, 500, 1),
-        # Did not run anywhere.
+        # Ran at no replica.
         ('/register/x', {'full': True}, 503, 0),
         ('/lookup/x', {'full': True}, 503, 0),
-        # May run again, at another replica.
+        # Idempotent: retried at another replica.
         ('/lookup/x', {'fails_with': 500}, 500, 2),
     ],
+    ids=[
+        'at-most-once-timeout',
+        'at-most-once-error',
+        'at-most-once-full',
+        'idempotent-full',
+        'idempotent-error',
+    ],
 )
-async def test_verdicts_under_faults(tmp_path, path, fault, status, runs):
+async def test_replica_fault_is_retried_only_where_safe(
+    tmp_path, path, fault, status, runs
+):
     async with sites.running() as site:
         desks = [r for r in site.replicas if r.service == 'desk']
         for desk in desks:
@@ -229,14 +256,11 @@
             assert float(answer.headers['retry-after']) > 0
 
 
-async def test_a_caller_that_leaves_stops_the_work(tmp_path):
-    """The caller hangs up in the middle of a stream.
-
-    Its replica must stop within half a second, or it works for nobody.
-    """
+async def test_disconnect_cancels_the_replicas_work(tmp_path):
+    """Guard against a replica that keeps working for a caller that is gone."""
     async with sites.running() as site:
-        for maker in makers(site):
-            maker.events = 2000
+        for replica in decode_replicas(site):
+            replica.events = 2000
         async with gateways.running(site, tmp_path) as (gateway,):
             headers = gateway.headers('l1', **gateways.PROMPT)
             async with gateway.client.stream(
@@ -244,14 +268,16 @@
             ) as answer:
                 await anext(answer.aiter_bytes())
             with trio.fail_after(0.5):
-                while not sum(maker.cancelled for maker in makers(site)):
+                while not sum(
+                    replica.cancelled for replica in decode_replicas(site)
+                ):
                     await trio.sleep(0.01)
 
 
-async def test_usage_is_reported_once_by_one_holder(tmp_path):
+async def test_usage_is_reported_once_by_one_lease_holder(tmp_path):
     async with sites.running() as site:
-        terms = {'usage_window_s': 1, 'usage_late_s': 2, 'lease_ms': 2400}
-        async with gateways.running(site, tmp_path, 2, **terms) as found:
+        settings = {'usage_window_s': 1, 'usage_late_s': 2, 'lease_ms': 2400}
+        async with gateways.running(site, tmp_path, 2, **settings) as found:
             for number in range(6):
                 gateway = found[number % 2]
                 answer = await gateway.call(
@@ -266,7 +292,7 @@
         assert len(set(site.cloud.holders)) == 1
 
 
-async def test_an_entry_of_another_writer_is_passed_over(tmp_path):
+async def test_malformed_replica_entry_is_skipped(tmp_path):
     async with sites.running() as site:
         for number, entry in enumerate(
             [{}, {'service': 'desk', 'state': 'odd'}, 'text', None, [1]]
@@ -277,11 +303,11 @@
             assert answer.status_code == 200
 
 
-async def test_a_draining_replica_gets_no_more(tmp_path):
+async def test_draining_replica_gets_no_new_request(tmp_path):
     async with sites.running() as site:
         async with gateways.running(site, tmp_path) as (gateway,):
             site.replica('i-desk-1').draining = True
-            # The bound is two seconds.
+            # Just below drain_ms of the settings.
             await trio.sleep(1.9)
             before = len(site.replica('i-desk-1').runs)
             for number in range(5):
@@ -290,27 +316,28 @@
             assert len(site.replica('i-desk-2').runs) >= 5
 
 
-async def test_a_maker_that_leaves_during_the_read_gets_no_more(tmp_path):
-    """A prompt is read for over two seconds; its maker says it is leaving.
+async def test_replica_that_drains_during_prefill_gets_no_decode(tmp_path):
+    """Guard against decode at a replica that began to drain during prefill.
 
-    The caller saw nothing, but the leaving replica got new work later than
-    the bound: the maker was chosen before the read and not looked at again.
+    The decode replica must be chosen again when a long prefill has ended.
     """
-    reader, leaving = (
+    prefill_replica, draining_replica = (
         replicas.Replica('i-reader', 'models', 'a', 'prefill'),
         replicas.Replica('i-leaving', 'models', 'a', 'decode'),
     )
-    staying = replicas.Replica('i-staying', 'models', 'a', 'decode')
-    reader.tokens_per_s = 1460 / 2.2
-    # Reading beside the output would take far longer still.
-    leaving.tokens_per_s = 1.0
-    async with sites.running([reader, leaving, staying]) as site:
-        staying.draining = True
+    staying_replica = replicas.Replica('i-staying', 'models', 'a', 'decode')
+    prefill_replica.tokens_per_s = 1460 / 2.2
+    # Prefill at the decode replica would take far longer.
+    draining_replica.tokens_per_s = 1.0
+    async with sites.running(
+        [prefill_replica, draining_replica, staying_replica]
+    ) as site:
+        staying_replica.draining = True
         async with gateways.running(site, tmp_path) as (gateway,):
-            task = []
+            answers = []
 
             async def call():
-                task.append(
+                answers.append(
                     await gateway.call(
                         'POST', '/ask/rule', 'm1', **gateways.PROMPT
                     )
@@ -319,16 +346,16 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(call)
                 with trio.fail_after(2):
-                    while not reader.reads:
+                    while not prefill_replica.reads:
                         await trio.sleep(0.01)
-                leaving.draining = True
-                staying.draining = False
-        assert task[0].status_code == 200
-        assert [run.request_id for run in staying.runs] == ['m1']
-        assert leaving.runs == []
+                draining_replica.draining = True
+                staying_replica.draining = False
+        assert answers[0].status_code == 200
+        assert [run.request_id for run in staying_replica.runs] == ['m1']
+        assert draining_replica.runs == []
 
 
-async def test_a_changed_configuration_comes_into_force(tmp_path):
+async def test_only_a_newer_configuration_is_applied(tmp_path):
     async with sites.running() as site:
         async with gateways.running(site, tmp_path) as (gateway,):
             tenants = [{'name': 'club', 'api_keys': ['club-key-2']}]
@@ -339,28 +366,27 @@
                     await gateway.call('GET', '/lookup/entry')
                 ).status_code != 401:
                     await trio.sleep(0.05)
-            # An older version that is written again changes nothing.
+            # An older version has no effect.
             site.put_config(sites.CONFIG)
             await trio.sleep(0.3)
             answer = await gateway.call('GET', '/lookup/entry')
             assert answer.status_code == 401
 
 
-async def test_a_vm_without_the_store_learns_from_a_peer(tmp_path):
-    """The store turns one VM away just as a key is taken away.
+async def test_vm_without_the_store_gets_configuration_from_a_peer(tmp_path):
+    """Guard against a revoked key that stays valid without store access.
 
-    It would let the revoked key pass for as long as that lasts; a peer that
-    has read the new version tells it.
+    A peer sends the new configuration to a VM that the store refuses.
     """
     async with sites.running() as site:
         async with gateways.running(site, tmp_path, 2) as (one, _):
-            # Time for the links to stand.
+            # Wait until the peers are connected.
             await trio.sleep(1.5)
             site.faults.refused_status = 503
             site.faults.refused_vms = {'front-a-0'}
             tenants = [{'name': 'club', 'api_keys': ['club-key-2']}]
             site.put_config({**sites.CONFIG, 'version': 9, 'tenants': tenants})
-            # The bound is seven seconds: two, and five for such a VM.
+            # Below config_apply_ms plus max_stretch_ms of the settings.
             with trio.fail_after(5):
                 while (
                     await one.call('GET', '/lookup/entry')
@@ -368,8 +394,8 @@
                     await trio.sleep(0.1)
 
 
-async def test_a_start_without_the_store_says_not_yet(tmp_path):
-    """A VM that knows no configuration must not deny what is allowed."""
+async def test_start_without_the_store_answers_503(tmp_path):
+    """Guard against a 401 or 404 from a VM that has no configuration yet."""
     async with sites.running() as site:
         site.faults.down = True
         async with gateways.starting(site, tmp_path) as gateway:
@@ -379,12 +405,8 @@
             assert not await gateway.ready()
 
 
-async def test_a_call_during_the_start_waits_for_the_store(tmp_path):
-    """All VMs were killed, and callers are back before the store answered.
-
-    Refused, each came back a second later; the configuration was there a
-    few hundredths after the refusal.
-    """
+async def test_request_during_the_start_waits_for_the_store(tmp_path):
+    """Guard against refusals while a new process reads its configuration."""
     async with sites.running() as site:
         site.faults.delay_s = 0.2
         async with gateways.starting(site, tmp_path) as gateway:
@@ -392,11 +414,8 @@
             assert answer.status_code == 200
 
 
-def test_a_start_imports_no_framework():
-    """A killed process serves nobody until its imports are done.
-
-    Quart and what it brings took a third of them, for two small paths.
-    """
+def test_start_imports_no_web_framework():
+    """Guard against imports that slow down the restart of a process."""
     code = (
         'import sys; import gentianstair.gateway.main;'
         "print({'quart', 'flask', 'jinja2', 'cappa'} & set(sys.modules))"
@@ -411,7 +430,7 @@
     assert found.stdout.strip() == 'set()'
 
 
-def test_replicas_sample_matches_the_registry():
+def test_default_replicas_are_distinct_and_without_fault():
     names = {replica.name for replica in sites.default_replicas()}
     assert len(names) == 5
     assert replicas.Faults().fails_with == 0
--- a/test/gateway/test_planned_stop.py
+++ b/test/gateway/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""Test what callers get from a process that is being stopped."""
+"""Test responses of a process that is being stopped."""
 
 import pytest
 import trio
@@ -9,8 +9,8 @@
 from test.gateway import gateways
 
 GRACE_S = 2.4
-# Too short for the prompt to be read.
-SHORT_S = 0.35
+# Too short for the prefill of the prompt.
+TOO_SHORT_S = 0.35
 
 
 @pytest.fixture
@@ -22,11 +22,11 @@
 
 
 @pytest.mark.parametrize('grace_s', [3.0, 4.0, 6.0, 7.4, 8.0, 30.0])
-def test_no_request_is_given_up_before_the_last_sixth_of_the_grace(grace_s):
-    # With a short grace what a replica was at work on was cut too early.
-    answered_s = main.request_grace_s(grace_s)
-    assert answered_s > grace_s * 5 / 6
-    assert answered_s < main.connection_grace_s(grace_s) < grace_s
+def test_requests_run_until_the_last_sixth_of_the_grace_period(grace_s):
+    # Guards against ending requests too early in a short grace period.
+    request_grace_s = main.request_grace_s(grace_s)
+    assert request_grace_s > grace_s * 5 / 6
+    assert request_grace_s < main.connection_grace_s(grace_s) < grace_s
 
 
 @pytest.mark.parametrize(
@@ -37,18 +37,19 @@
         ('POST', '/ask/rule', gateways.PROMPT),
         ('POST', '/draft/rule', gateways.PROMPT),
     ],
+    ids=['idempotent', 'at-most-once', 'stream', 'unresumable-stream'],
 )
-async def test_what_outlasts_the_grace_gets_a_final_answer(
+async def test_request_that_outlasts_the_grace_period_gets_504(
     tmp_path, stop, method, path, more
 ):
-    # A bare 500, of which callers and logs could tell nothing.
+    # Guards against a 500 without a request id or a reason.
     async with sites.running() as site:
         async with gateways.running(site, tmp_path, grace_s=GRACE_S) as (
             gateway,
         ):
             for replica in site.replicas:
                 replica.faults.silent = True
-            # A kept connection.
+            # Open a keep-alive connection.
             await gateway.call('GET', '/none/', 'r0')
             stop.set()
             await trio.sleep(0.05)
@@ -58,7 +59,7 @@
     assert answer.headers['connection'] == 'close'
 
 
-async def test_what_ends_in_the_grace_is_answered(tmp_path, stop):
+async def test_request_that_fits_in_the_grace_period_completes(tmp_path, stop):
     async with sites.running() as site:
         async with gateways.running(site, tmp_path, grace_s=GRACE_S) as (
             gateway,
@@ -72,11 +73,16 @@
     assert answer.text.count('data: word') == 5
 
 
-@pytest.mark.parametrize(('stopping', 'status'), [(False, 200), (True, 503)])
-async def test_what_cannot_end_in_the_grace_is_refused_at_once(
+@pytest.mark.parametrize(
+    ('stopping', 'status'),
+    [(False, 200), (True, 503)],
+    ids=['serving', 'stopping'],
+)
+async def test_request_too_long_for_the_grace_period_is_refused_at_once(
     tmp_path, stop, stopping, status, monkeypatch
 ):
-    # It waited for the end of the grace, though another VM had the time.
+    # Guards against a request that waits for the end of the grace period
+    # although another VM has time to serve it.
     monkeypatch.setattr(
         main, 'BALANCER_DRAIN_S', main.request_grace_s(GRACE_S)
     )
@@ -87,7 +93,7 @@
         ):
             if stopping:
                 stop.set()
-                await trio.sleep(main.request_grace_s(GRACE_S) - SHORT_S)
+                await trio.sleep(main.request_grace_s(GRACE_S) - TOO_SHORT_S)
             started_s = trio.current_time()
             answer = await gateway.call('POST', '/ask/rule', 'r1', **more)
             took_s = trio.current_time() - started_s
--- a/test/gateway/test_reload.py
+++ b/test/gateway/test_reload.py
@@ -1,4 +1,4 @@
-"""Test that changed settings come into force, and bad ones do not."""
+"""Test that changed settings are applied and invalid ones are not."""
 
 import os
 import pathlib
@@ -28,8 +28,9 @@
         (samples.settings(budget_ratio='"much"'), 0.2),
         ('no toml at all = =', 0.2),
     ],
+    ids=['valid', 'wrong-type', 'no-toml'],
 )
-def test_a_changed_file(tmp_path, text, ratio):
+def test_only_a_valid_file_changes_the_settings(tmp_path, text, ratio):
     file = tmp_path / 'settings.toml'
     file.write_text(samples.settings())
     live = deployment.LiveSettings(read(file))
@@ -39,12 +40,8 @@
     assert live.current.bounds.retry_ratio == ratio
 
 
-async def test_a_signal_reads_at_once(tmp_path):
-    """A planned reload must not end the process.
-
-    The operator sends SIGHUP after a change; without a handler the signal
-    ends the process, and all requests that it serves are cut.
-    """
+async def test_sighup_reloads_at_once(tmp_path):
+    """Guard against a SIGHUP that ends the process instead of reloading."""
     file = tmp_path / 'settings.toml'
     file.write_text(samples.settings())
     live = deployment.LiveSettings(read(file))
@@ -60,8 +57,8 @@
         nursery.cancel_scope.cancel()
 
 
-def test_a_signal_at_the_start_does_not_end_it():
-    """A SIGHUP may come while the program is still being imported."""
+def test_sighup_during_imports_does_not_end_the_process():
+    """Guard against a SIGHUP that ends the process during its imports."""
     code = (
         'import os, signal, runpy, sys\n'
         "sys.modules['gentianstair.gateway.main'] = type(sys)('main')\n"
@@ -77,7 +74,7 @@
     assert done.returncode == 0
 
 
-def test_a_missing_file_is_one_line(tmp_path):
+def test_missing_file_is_reported_in_one_line(tmp_path):
     with pytest.raises(errors.SettingsError) as caught:
         settings.read(tmp_path / 'none.toml')
     assert '\n' not in str(caught.value)
--- a/test/gateway/test_repeated_stop.py
+++ b/test/gateway/test_repeated_stop.py
@@ -1,4 +1,4 @@
-"""Test signals that come while a process is being stopped."""
+"""Test signals that arrive while a process is being stopped."""
 
 import signal
 
@@ -15,7 +15,7 @@
     'x-request-id': 'r1',
     'x-request-deadline-ms': '3000',
 }
-GAP_S = 0.3
+SIGNAL_GAP_S = 0.3
 
 
 @pytest.fixture
@@ -25,18 +25,19 @@
     found.signal(signal.SIGKILL)
 
 
-async def ask(gateway, found):
+async def post_request(gateway, statuses):
     async with httpx.AsyncClient(trust_env=False) as client:
         url = f'{gateway.url}/register/bowl'
         answer = await client.post(url, headers=HEADERS, timeout=10.0)
-    found.append(answer.status_code)
+    statuses.append(answer.status_code)
 
 
 @pytest.mark.process
 @pytest.mark.parametrize('again', ['SIGTERM', 'SIGHUP'])
-async def test_a_signal_after_sigterm_cuts_no_request(gateway, again):
-    # The second SIGTERM ended the process with all that was under way.
-    found = []
+async def test_second_signal_cuts_off_no_request(gateway, again):
+    # Guards against a second signal that ends the process with requests in
+    # flight.
+    statuses = []
     async with sites.running() as site:
         for replica in site.replicas:
             replica.faults.silent = True
@@ -44,20 +45,20 @@
         gateway.start(site.store_port, site.cloud_port, control)
         await gateway.ready()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(ask, gateway, found)
+            nursery.start_soon(post_request, gateway, statuses)
             with trio.fail_after(processes.START_S):
                 while not sum(len(r.runs) for r in site.replicas):
                     await trio.sleep(0.01)
             for number in ('SIGTERM', again, again):
                 gateway.signal(signal.Signals[number])
-                await trio.sleep(GAP_S)
+                await trio.sleep(SIGNAL_GAP_S)
         assert await gateway.wait() == 0
-    assert found == [504]
+    assert statuses == [504]
 
 
 @pytest.mark.process
-async def test_a_stop_right_after_the_start_is_planned(gateway):
-    # The signal came before its handler, and ended the process by itself.
+async def test_sigterm_right_after_the_start_stops_cleanly(gateway):
+    # Guards against a SIGTERM that arrives before its handler is installed.
     async with sites.running() as site:
         control = gateway.ports['control']
         gateway.start(site.store_port, site.cloud_port, control)
