--- a/gentianstair/core/exchange.py
+++ b/gentianstair/core/exchange.py
@@ -19,16 +19,16 @@
 TIMEOUT_HEADER = 'x-request-timeout-s'
 MAX_HEADERS_BYTES = 32768
 HTTP_HEADERS_TOO_LARGE = 431
-HTTP_TOO_LARGE = 413
+HTTP_CONTENT_TOO_LARGE = 413
 HTTP_TIMEOUT = 408
 MAX_ID_LENGTH = 128
 # Status, in logs and metrics alone, of requests that have no whole answer:
 # their callers left, or this process closed their connections.
-HTTP_CALLER_GONE = 499
-HTTP_CLOSED_HERE = 444
+HTTP_CALLER_DISCONNECTED = 499
+HTTP_CLOSED_BY_SERVER = 444
 
 
-class CallerGoneError(errors.GentianstairError):
+class CallerDisconnectedError(errors.GentianstairError):
     """Report that an answer can't reach its caller any more.
 
     The caller hung up or stopped reading, or this process closed the
@@ -58,13 +58,13 @@
         self.started = False
         self.ended = False
         # Asked when the answer starts: whether its connection is to close.
-        self.closes: collections.abc.Callable[[], bool] | None = None
+        self.should_close: collections.abc.Callable[[], bool] | None = None
         self._body_read = False
         self._is_http1 = scope.get('http_version', '1.1').startswith('1')
         self._receive = receive
         self._send = send
 
-    def check_headers(self) -> None:
+    def check_header_size(self) -> None:
         """Raise RequestError when the headers are too long together.
 
         The server's own limit holds for headers that come in parts only.
@@ -91,7 +91,7 @@
             )
         return found[0].decode('latin-1') if found else None
 
-    def timeout_s(self, limit_s: float) -> float:
+    def request_timeout_s(self, limit_s: float) -> float:
         """Return how long the caller waits for its whole answer."""
         text = self.header(TIMEOUT_HEADER)
         if text is None:
@@ -119,7 +119,7 @@
         the caller takes longer than timeout_s to send it.
         """
         too_long = errors.RequestError(
-            HTTP_TOO_LARGE,
+            HTTP_CONTENT_TOO_LARGE,
             'body-too-long',
             f'a body may have {limit_bytes} bytes',
         )
@@ -132,7 +132,7 @@
             while more:
                 message = await self._receive()
                 if message['type'] == 'http.disconnect':
-                    raise CallerGoneError('hung up while sending')
+                    raise CallerDisconnectedError('hung up while sending')
                 parts.append(message.get('body', b''))
                 size += len(parts[-1])
                 if size > limit_bytes:
@@ -147,13 +147,13 @@
             )
         return b''.join(parts)
 
-    def gone_status(self) -> int:
+    def disconnect_status(self) -> int:
         """Return the status of a request whose connection has ended."""
         if self.connection.is_closed_here:
-            return HTTP_CLOSED_HERE
-        return HTTP_CALLER_GONE
+            return HTTP_CLOSED_BY_SERVER
+        return HTTP_CALLER_DISCONNECTED
 
-    async def wait_gone(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Return when the connection has ended; drop what is left to read."""
         while True:
             message = await self._receive()
@@ -163,7 +163,7 @@
     async def start(self, status: int, headers: Headers) -> None:
         """Send status and headers."""
         self.started = True
-        if self.closes is not None and self.closes():
+        if self.should_close is not None and self.should_close():
             headers = [*headers, (b'connection', b'close')]
         await self._send(
             {
@@ -200,11 +200,11 @@
         async with trio.open_nursery() as nursery:
             # The server tells the end of the request behind the parts of
             # its body, in a queue that may be full.
-            nursery.start_soon(self.wait_gone)
+            nursery.start_soon(self.wait_disconnected)
             await self._send(last)
             nursery.cancel_scope.cancel()
 
-    async def answer(
+    async def respond(
         self, status: int, content_type: str, body: bytes, extra: Headers = ()
     ) -> None:
         """Send a whole answer."""
@@ -216,17 +216,17 @@
         await self.start(status, headers)
         await self.end(body)
 
-    async def refuse(
+    async def send_error(
         self, error: errors.RequestError, request_id: str
     ) -> None:
         """Send a problem body that carries the verdict."""
-        body, extra = problem(error, request_id)
-        await self.answer(
+        body, extra = problem_response(error, request_id)
+        await self.respond(
             error.status, 'application/problem+json', body, extra
         )
 
 
-def problem(
+def problem_response(
     error: errors.RequestError, request_id: str
 ) -> tuple[bytes, Headers]:
     """Return body and headers of a refusal (RFC 9457)."""
--- a/gentianstair/core/grace.py
+++ b/gentianstair/core/grace_period.py
@@ -8,28 +8,28 @@
 
 # Left of the grace for final answers to reach their callers, before the
 # server closes what is still open.
-LAST_ANSWERS_S = 0.25
+RESPONSE_FLUSH_S = 0.25
 
 
-class Grace:
+class GracePeriod:
     """The time that requests still have; without limit until a stop."""
 
     def __init__(self) -> None:
         self._end_s = math.inf
         self._scopes: set[trio.CancelScope] = set()
 
-    def end_in(self, left_s: float) -> None:
+    def expire_in(self, left_s: float) -> None:
         """Bound the requests under way, and all later ones."""
         self._end_s = trio.current_time() + left_s
         for scope in self._scopes:
             scope.deadline = min(scope.deadline, self._end_s)
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Return how long requests may still take."""
         return max(0.0, self._end_s - trio.current_time())
 
     @contextlib.contextmanager
-    def bound(self, scope: trio.CancelScope) -> collections.abc.Iterator[None]:
+    def limit(self, scope: trio.CancelScope) -> collections.abc.Iterator[None]:
         """Cancel the scope at the end of the grace."""
         scope.deadline = min(scope.deadline, self._end_s)
         self._scopes.add(scope)
--- a/gentianstair/entry/app.py
+++ b/gentianstair/entry/app.py
@@ -47,7 +47,7 @@
 
 
 def _problem(error: errors.RequestError) -> quart.Response:
-    body, headers = exchanges.problem(error, uuid.uuid4().hex)
+    body, headers = exchanges.problem_response(error, uuid.uuid4().hex)
     response = quart.Response(
         body, error.status, content_type='application/problem+json'
     )
--- a/gentianstair/entry/handler.py
+++ b/gentianstair/entry/handler.py
@@ -12,7 +12,7 @@
 from gentianstair import errors
 from gentianstair import verdict as verdicts
 from gentianstair.core import exchange as exchanges
-from gentianstair.core import patience
+from gentianstair.core import request_lifetime
 from gentianstair.entry import callers
 from gentianstair.entry import completions
 from gentianstair.entry import node as nodes
@@ -85,7 +85,7 @@
             await self._route()
         except errors.RequestError as error:
             await self._fail(error)
-        except exchanges.CallerGoneError as error:
+        except exchanges.CallerDisconnectedError as error:
             self._gone(error)
             if self._exchange.started:
                 # The server closes a connection whose answer is not ended.
@@ -99,13 +99,13 @@
             RUNNING.dec()
             # Without a status it was cancelled: the grace is over, or the
             # process ends.
-            self._status = self._status or exchanges.HTTP_CLOSED_HERE
+            self._status = self._status or exchanges.HTTP_CLOSED_BY_SERVER
             DURATION_S.observe(self._node.clock() - started_s)
             self._log()
 
-    def _gone(self, error: exchanges.CallerGoneError) -> None:
+    def _gone(self, error: exchanges.CallerDisconnectedError) -> None:
         connection = self._exchange.connection
-        self._status = self._exchange.gone_status()
+        self._status = self._exchange.disconnect_status()
         if connection.is_closed_here:
             self._explain('closed-here', why=connection.end.value)
         else:
@@ -133,7 +133,7 @@
         self._verdict = error.verdict
         self._explain('refused', **error.to_problem())
         if not self._exchange.started:
-            await self._exchange.refuse(error, self._request_id)
+            await self._exchange.send_error(error, self._request_id)
         elif not self._exchange.ended:
             event = streams.error_event(error, self._request_id)
             await self._exchange.end(event)
@@ -141,12 +141,12 @@
     async def _route(self) -> None:
         node = self._node
         exchange = self._exchange
-        exchange.check_headers()
+        exchange.check_header_size()
         authorization = exchange.header('authorization')
         caller = callers.authenticate(node.view, authorization)
         check_fresh(node)
         self._customer = caller.customer
-        limit_s = exchange.timeout_s(node.settings.request_timeout_s)
+        limit_s = exchange.request_timeout_s(node.settings.request_timeout_s)
         deadline_s = node.clock() + limit_s
         body = await exchange.read_body(
             node.settings.max_body_bytes, node.settings.body_timeout_s
@@ -211,16 +211,18 @@
         """Run until done, the caller hangs up or its deadline passes."""
         node = self._node
         left_s = deadline_s - node.clock()
-        end = await patience.run(self._exchange, run, left_s, node.grace)
-        if end is patience.End.LATE:
+        end = await request_lifetime.run_until_ended(
+            self._exchange, run, left_s, node.grace
+        )
+        if end is request_lifetime.EndReason.TIMED_OUT:
             raise _unfinished(
                 'deadline-passed',
                 'the answer was not complete at its deadline',
             )
-        if end is patience.End.STOPPED:
+        if end is request_lifetime.EndReason.SHUT_DOWN:
             raise _stopping()
-        if end is patience.End.GONE:
-            raise exchanges.CallerGoneError('the caller hung up')
+        if end is request_lifetime.EndReason.DISCONNECTED:
+            raise exchanges.CallerDisconnectedError('the caller hung up')
 
     async def _generate(
         self,
@@ -248,7 +250,7 @@
                 )
             )
             self._status = whole.status
-            await exchange.answer(
+            await exchange.respond(
                 whole.status,
                 whole.content_type,
                 whole.body,
@@ -287,7 +289,7 @@
             return
         # A caller that hangs up does not stop an unrepeatable call: its
         # outcome is kept for when the caller asks again.
-        with trio.CancelScope() as scope, node.grace.bound(scope):
+        with trio.CancelScope() as scope, node.grace.limit(scope):
             await run()
         if scope.cancelled_caught:
             raise _stopping()
--- a/gentianstair/entry/main.py
+++ b/gentianstair/entry/main.py
@@ -12,7 +12,7 @@
 from gentianstair import daemon
 from gentianstair import errors
 from gentianstair.config import view as views
-from gentianstair.core import grace
+from gentianstair.core import grace_period
 from gentianstair.entry import admission
 from gentianstair.entry import app as apps
 from gentianstair.entry import claim_links
@@ -112,7 +112,7 @@
         ),
         explanations=explanations,
         transport=transport.make_transport(),
-        grace=grace.Grace(),
+        grace=grace_period.GracePeriod(),
     )
     return node, peer
 
@@ -201,8 +201,10 @@
         loguru.logger.info('stopping: no new requests, running ones end')
         leaving.set()
         peer.leave()
-        node.grace.end_in(
-            config.leave_wait_s + config.drain_timeout_s - grace.LAST_ANSWERS_S
+        node.grace.expire_in(
+            config.leave_wait_s
+            + config.drain_timeout_s
+            - grace_period.RESPONSE_FLUSH_S
         )
         # The balancer still sends here until it has seen that this VM is
         # not ready; closing at once would refuse those callers.
--- a/gentianstair/entry/node.py
+++ b/gentianstair/entry/node.py
@@ -4,7 +4,7 @@
 
 from gentianstair.config import view as views
 from gentianstair.core import ejection
-from gentianstair.core import grace
+from gentianstair.core import grace_period
 from gentianstair.entry import admission
 from gentianstair.entry import claims as claimses
 from gentianstair.entry import explain
@@ -39,7 +39,7 @@
     usage: usages.Usage
     explanations: explain.Explanations
     transport: transport.Transport
-    grace: grace.Grace
+    grace: grace_period.GracePeriod
 
     @property
     def ejector(self) -> ejection.Ejector:
--- a/gentianstair/entry/relay.py
+++ b/gentianstair/entry/relay.py
@@ -101,7 +101,7 @@
     if not scope.cancelled_caught:
         return
     if guard.caller_waits:
-        raise exchanges.CallerGoneError('the caller stopped reading')
+        raise exchanges.CallerDisconnectedError('the caller stopped reading')
     raise errors.UpstreamError(
         f'no data for {stall_s:g} s', verdicts.Verdict.MAY_HAVE_RUN
     )
@@ -196,7 +196,7 @@
                 f'the upstream answered {found.status_code} to a resumption',
                 verdicts.Verdict.MAY_HAVE_RUN,
             )
-        await self._exchange.answer(
+        await self._exchange.respond(
             found.status_code,
             found.headers.get('content-type', JSON),
             body,
--- a/gentianstair/gateway/handler.py
+++ b/gentianstair/gateway/handler.py
@@ -10,7 +10,7 @@
 from gentianstair import verdict as verdicts
 from gentianstair.core import asgi
 from gentianstair.core import exchange as exchanges
-from gentianstair.core import patience
+from gentianstair.core import request_lifetime
 from gentianstair.gateway import calls
 from gentianstair.gateway import catalog
 from gentianstair.gateway import forward
@@ -53,7 +53,7 @@
         self._node = node
         self._exchange = exchange
         # At a planned stop callers are told not to come back on it.
-        exchange.closes = node.leaving.is_set
+        exchange.should_close = node.leaving.is_set
         self._arrived_s = node.clock()
         self._call: calls.Call | None = None
         self._task: tasks.Task | None = None
@@ -66,7 +66,7 @@
             await self._serve()
         except errors.RequestError as error:
             await self._fail(error)
-        except exchanges.CallerGoneError as error:
+        except exchanges.CallerDisconnectedError as error:
             self._gone(error)
             if self._exchange.started:
                 # The server closes a connection whose answer is not ended.
@@ -85,13 +85,13 @@
             RUNNING.dec()
             # Without a status it was cancelled: the grace is over, or the
             # process ends.
-            self._status = self._status or exchanges.HTTP_CLOSED_HERE
+            self._status = self._status or exchanges.HTTP_CLOSED_BY_SERVER
             self._account()
 
-    def _gone(self, error: exchanges.CallerGoneError) -> None:
+    def _gone(self, error: exchanges.CallerDisconnectedError) -> None:
         """Note that the connection has ended, and who ended it."""
         connection = self._exchange.connection
-        self._status = self._exchange.gone_status()
+        self._status = self._exchange.disconnect_status()
         # An HTTP/2 request may end alone.
         end = connection.end or connections.End.STREAM_RESET
         logger = loguru.logger.bind(
@@ -158,7 +158,7 @@
                 **self._named(),
             ).info('cut in the answer: {}', error.detail)
             # An answer that is cut must not look complete.
-            raise exchanges.CallerGoneError(f'cut: {error.detail}')
+            raise exchanges.CallerDisconnectedError(f'cut: {error.detail}')
         call = self._call
         headers = wire.refusal_headers(
             call.request_id if call else '', error.retry_after_s
@@ -266,27 +266,27 @@
         if task.left_s() < tasks.LEAST_LEFT_S:
             # Sent now it could only be cut, and might have run by then.
             raise task.give_up()
-        end = await patience.run(
+        end = await request_lifetime.run_until_ended(
             self._exchange,
             functools.partial(self._run, task, service),
             task.left_s(),
             self._node.grace,
         )
-        if end is patience.End.DONE:
+        if end is request_lifetime.EndReason.DONE:
             return
         if task.sent:
             task.note(verdicts.Verdict.MAY_HAVE_RUN)
-        if end is patience.End.GONE:
-            raise exchanges.CallerGoneError('the caller hung up')
+        if end is request_lifetime.EndReason.DISCONNECTED:
+            raise exchanges.CallerDisconnectedError('the caller hung up')
         raise self._late(task, end)
 
     def _late(
-        self, task: tasks.Task, end: patience.End
+        self, task: tasks.Task, end: request_lifetime.EndReason
     ) -> errors.RequestError:
         """Return the error when time is over."""
         if task.verdict is verdicts.Verdict.NOT_RUN:
             return task.give_up()
-        if end is patience.End.STOPPED:
+        if end is request_lifetime.EndReason.SHUT_DOWN:
             return errors.RequestError(
                 504, 'stopping', 'no answer before this stop', task.verdict
             )
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -15,7 +15,7 @@
 from gentianstair import errors
 from gentianstair.control import lease
 from gentianstair.core import ejection
-from gentianstair.core import grace
+from gentianstair.core import grace_period
 from gentianstair.gateway import cache_news
 from gentianstair.gateway import cache_watch
 from gentianstair.gateway import catalog
@@ -177,7 +177,7 @@
         store=store,
         usage=counts,
         leaving=trio.Event(),
-        grace=grace.Grace(),
+        grace=grace_period.GracePeriod(),
         nursery=nursery,
     )
 
@@ -293,13 +293,13 @@
 
     Replicas that are at work in the last sixth of the grace are given up.
     """
-    left_s = grace.LAST_ANSWERS_S + LAST_WRITES_S
+    left_s = grace_period.RESPONSE_FLUSH_S + LAST_WRITES_S
     return max(ANSWERED_SHARE * grace_s, grace_s - left_s)
 
 
 def served_s(grace_s: float) -> float:
     """Return how long after a stop is asked for connections may last."""
-    return min(answered_s(grace_s) + grace.LAST_ANSWERS_S, grace_s)
+    return min(answered_s(grace_s) + grace_period.RESPONSE_FLUSH_S, grace_s)
 
 
 def _idle_limit_s(node: nodes.Node) -> float:
@@ -313,7 +313,7 @@
     await asked.wait()
     loguru.logger.bind(event=events.STOPPING).info('stopping')
     node.leaving.set()
-    node.grace.end_in(answered_s(node.deployment.bounds.grace_s))
+    node.grace.expire_in(answered_s(node.deployment.bounds.grace_s))
     await trio.sleep(LEAVE_S)
 
 
--- a/gentianstair/gateway/node.py
+++ b/gentianstair/gateway/node.py
@@ -5,7 +5,7 @@
 import trio
 
 from gentianstair.core import ejection
-from gentianstair.core import grace
+from gentianstair.core import grace_period
 from gentianstair.gateway import cache_news
 from gentianstair.gateway import catalog
 from gentianstair.gateway import deployment
@@ -60,7 +60,7 @@
     usage: usage.Counts
     # Set at a planned stop: answers close their connections.
     leaving: trio.Event
-    grace: grace.Grace
+    grace: grace_period.GracePeriod
     # Runs what must outlive a request, such as freeing a KV cache.
     nursery: trio.Nursery
 
--- a/gentianstair/gateway/ready.py
+++ b/gentianstair/gateway/ready.py
@@ -24,7 +24,7 @@
 
 
 async def _not_found(exchange: exchanges.Exchange) -> None:
-    await exchange.answer(404, TEXT, b'no such path\n')
+    await exchange.respond(404, TEXT, b'no such path\n')
 
 
 def make_app(node: nodes.Node) -> asgi.App:
@@ -39,7 +39,7 @@
             {'ready': True} if why is None else {'ready': False, 'why': why}
         )
         status = 200 if why is None else 503
-        await exchange.answer(status, JSON, msgspec.json.encode(found))
+        await exchange.respond(status, JSON, msgspec.json.encode(found))
 
     return asgi.make_app(serve)
 
@@ -51,7 +51,7 @@
         if exchange.path != METRICS_PATH:
             await _not_found(exchange)
             return
-        await exchange.answer(
+        await exchange.respond(
             200,
             prometheus_client.CONTENT_TYPE_LATEST,
             prometheus_client.generate_latest(),
--- a/gentianstair/gateway/task.py
+++ b/gentianstair/gateway/task.py
@@ -75,7 +75,7 @@
     def left_s(self) -> float:
         """Return how long the caller waits and this process serves."""
         left_s = max(0.0, self.deadline_s - self.node.clock())
-        return min(left_s, self.node.grace.left_s())
+        return min(left_s, self.node.grace.remaining_s())
 
     def urgency(self) -> int:
         """Return the rank for replicas; a customer's goes first."""
--- a/test/core/test_exchange.py
+++ b/test/core/test_exchange.py
@@ -8,8 +8,8 @@
 
 from gentianstair import errors
 from gentianstair.core import asgi
-from gentianstair.core import grace
-from gentianstair.core import patience
+from gentianstair.core import grace_period
+from gentianstair.core import request_lifetime
 from gentianstair.util import serving
 
 REQUEST = b'GET / HTTP/1.1\r\nhost: x\r\n\r\n'
@@ -52,7 +52,9 @@
         await exchange.read_body(1000, 1.0)
         if exchange.path == '/late':
             ends.append(
-                await patience.run(exchange, work, DEADLINE_S, grace.Grace())
+                await request_lifetime.run_until_ended(
+                    exchange, work, DEADLINE_S, grace_period.GracePeriod()
+                )
             )
         else:
             await answer(exchange)
@@ -63,7 +65,7 @@
         await trio.sleep(2 * DEADLINE_S)
         await stream.send_all(REQUEST)
         assert b'200' in await stream.receive_some()
-    assert ends == [patience.End.DONE]
+    assert ends == [request_lifetime.EndReason.DONE]
 
 
 async def test_a_refused_body_does_not_hold_its_connection():
@@ -74,7 +76,7 @@
         except errors.RequestError as error:
             # Held up, so that the server's queue of parts is full.
             await trio.sleep(0.1)
-            await exchange.refuse(error, 'r1')
+            await exchange.send_error(error, 'r1')
 
     head = b'POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 100000000\r\n\r\n'
     async with connection_to(refuse) as stream:
--- a/test/entry/test_cut_connections.py
+++ b/test/entry/test_cut_connections.py
@@ -15,7 +15,7 @@
 
 
 async def gone(_):
-    raise exchanges.CallerGoneError('the caller hung up')
+    raise exchanges.CallerDisconnectedError('the caller hung up')
 
 
 async def cancelled(_):
--- a/test/entry/test_planned_stop.py
+++ b/test/entry/test_planned_stop.py
@@ -31,7 +31,7 @@
             if begun:
                 while not entry.upstream.requests:
                     await trio.sleep(0.01)
-            entry.node.grace.end_in(GRACE_S)
+            entry.node.grace.expire_in(GRACE_S)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(stop)
--- a/test/gateway/test_cut_connections.py
+++ b/test/gateway/test_cut_connections.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 
-from gentianstair.core import grace
+from gentianstair.core import grace_period
 from gentianstair.gateway import main
 from gentianstair.generated import events
 from gentianstair.ui import losses
@@ -164,7 +164,7 @@
     monkeypatch.setattr(serving, 'catch_stop', lambda: stop)
     monkeypatch.setattr(main, 'LEAVE_S', 0.0)
     # A request that is not told of the stop, or its answer would come first.
-    monkeypatch.setattr(grace.Grace, 'end_in', lambda *_: None)
+    monkeypatch.setattr(grace_period.GracePeriod, 'expire_in', lambda *_: None)
     async with sites.running() as site:
         desks = [r for r in site.replicas if r.service == 'desk']
         for desk in desks:
--- a/test/util/test_accepting_ends.py
+++ b/test/util/test_accepting_ends.py
@@ -38,7 +38,7 @@
         seen.add(number)
         await exchange.read_body(1000, 1.0)
         await trio.sleep(0.01)
-        await exchange.answer(200, 'text/plain', b'done')
+        await exchange.respond(200, 'text/plain', b'done')
 
     sock = serving.listen('127.0.0.1:0')
     address = sock.getsockname()
--- a/test/util/test_connection_faults.py
+++ b/test/util/test_connection_faults.py
@@ -49,7 +49,7 @@
     asked.set()
     if exchange.header('slow'):
         await release.wait()
-    await exchange.answer(200, 'text/plain', b'done')
+    await exchange.respond(200, 'text/plain', b'done')
 
 
 @pytest.fixture
--- a/test/util/test_h2_ends.py
+++ b/test/util/test_h2_ends.py
@@ -22,9 +22,9 @@
 async def answer(exchange):
     await exchange.read_body(1000, 5.0)
     if exchange.header('slow'):
-        await exchange.wait_gone()
+        await exchange.wait_disconnected()
         return
-    await exchange.answer(200, 'text/plain', b'x')
+    await exchange.respond(200, 'text/plain', b'x')
 
 
 @pytest.mark.parametrize('play', ['no stream', 'answered', 'reset'])
--- a/test/util/test_parked_reader.py
+++ b/test/util/test_parked_reader.py
@@ -21,7 +21,7 @@
     gone = trio.Event()
 
     async def watch():
-        await exchange.wait_gone()
+        await exchange.wait_disconnected()
         gone.set()
 
     async with trio.open_nursery() as nursery:
@@ -31,7 +31,7 @@
             writes.append(1)
             await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
-    raise exchanges.CallerGoneError('gone')
+    raise exchanges.CallerDisconnectedError('gone')
 
 
 @pytest.mark.parametrize('asked', [REQUEST, REQUEST + REQUEST, UPGRADE])
--- a/test/util/test_random_stops.py
+++ b/test/util/test_random_stops.py
@@ -10,8 +10,8 @@
 
 from gentianstair.core import asgi
 from gentianstair.core import exchange as exchanges
-from gentianstair.core import grace as graces
-from gentianstair.core import patience
+from gentianstair.core import grace_period as graces
+from gentianstair.core import request_lifetime
 from gentianstair.util import serving
 
 GRACE_S = 1.5
@@ -23,11 +23,11 @@
     def __init__(self, chance):
         self.chance = chance
         self.given = {}
-        self.grace = graces.Grace()
+        self.grace = graces.GracePeriod()
         self.leaving = trio.Event()
 
     async def serve(self, exchange):
-        exchange.closes = self.leaving.is_set
+        exchange.should_close = self.leaving.is_set
         await exchange.read_body(10**7, 5.0)
         name = exchange.path
         self.given[name] = 'given'
@@ -47,13 +47,15 @@
                 await trio.sleep(0)
             await exchange.end()
 
-        end = await patience.run(exchange, work, 5.0, self.grace)
+        end = await request_lifetime.run_until_ended(
+            exchange, work, 5.0, self.grace
+        )
         self.given[name] = end.value
-        if end is patience.End.GONE:
-            raise exchanges.CallerGoneError('gone')
-        if end is not patience.End.DONE:
+        if end is request_lifetime.EndReason.DISCONNECTED:
+            raise exchanges.CallerDisconnectedError('gone')
+        if end is not request_lifetime.EndReason.DONE:
             if exchange.started:
-                raise exchanges.CallerGoneError('cut')
+                raise exchanges.CallerDisconnectedError('cut')
             headers = [(b'x-id', name.encode()), (b'content-length', b'0')]
             await exchange.start(504, headers)
             await exchange.end()
@@ -180,7 +182,7 @@
         # Requests may end a little before the server's grace does.
         site.leaving.set()
         await trio.sleep(chance.choice([0, 0, 0.3]))
-        site.grace.end_in(GRACE_S - 0.4)
+        site.grace.expire_in(GRACE_S - 0.4)
 
     async def serve():
         nonlocal ended_s
