--- a/gentianstair/bench/retry.py
+++ b/gentianstair/bench/retry.py
@@ -193,14 +193,14 @@
     async def _try(self, upstream: Upstream, nursery: trio.Nursery) -> None:
         ejector = self.policy.ejector
         started_s = trio.current_time()
-        ejector.started(upstream.name, started_s)
+        ejector.record_start(upstream.name, started_s)
         ok = False
         try:
             await upstream.call(nursery)
             ok = True
         finally:
             now_s = trio.current_time()
-            ejector.report(upstream.name, ok, now_s - started_s, now_s)
+            ejector.record_outcome(upstream.name, ok, now_s - started_s, now_s)
 
     async def _again(
         self,
@@ -230,7 +230,7 @@
             usable = [
                 upstream
                 for upstream in self.upstreams
-                if ejector.usable(upstream.name, now_s)
+                if ejector.is_available(upstream.name, now_s)
             ]
         two = self.rng.sample(usable, min(2, len(usable)))
         return min(two, key=lambda upstream: upstream.outstanding)
--- a/gentianstair/core/ejection.py
+++ b/gentianstair/core/ejection.py
@@ -1,201 +1,242 @@
-"""Take failing upstreams out of use and let them back in by one probe."""
+"""Eject failing upstreams and readmit them after a successful probe."""
 
 import random
 import statistics
 import typing
 
 # Failures in a row that eject an upstream.
-FAILURES_IN_A_ROW = 3
-# Share of recent tries that fail, and tries needed to judge by it.
-BAD_SHARE = 0.5
-LEAST_TRIES = 8
-# Weight of the newest try in an upstream's averages.
-NEWEST = 0.1
-# First time out of use, doubled at each further ejection up to the longest.
-FIRST_EJECTION_S = 2.0
-LONGEST_EJECTION_S = 30.0
-# With more than this share of the upstreams bad, the cause is common to
-# them (overload, a cut of our own): ejection would then only pile the load
-# on the rest, so nobody is ejected. Two lost failure domains of three are
-# still below it.
-MOST_EJECTED = 0.8
-# A failure that took this many times a typical answer is one of slowness
-# (a timeout). Overload makes those by itself, and taking out whom it hits
-# first overloads the rest; so only this share may be out for slowness.
-SLOW_TIMES = 2.0
-MOST_SLOW_EJECTED = 0.25
-# An upstream is bad only if it fails by this much more often than the best
-# quarter: in a common brown-out all fail, and chance alone would take out
-# one after the other for far longer than the brown-out lasts.
-WORSE_THAN_BEST = 0.2
-BEST_QUANTILE = 0.25
-# Figures over all upstreams are worked out at most this often.
-COMMON_AGE_S = 0.25
-# How long an upstream is passed over to which no connection could be opened.
-# Its process is gone or starting; a start takes about a second. Without it
-# each VM finds out by three failed requests, of half a second each where
-# nothing answers at all, and by one more every two seconds.
-UNREACHABLE_S = 1.0
-# A probe without a report after this long is taken for lost.
+CONSECUTIVE_FAILURES = 3
+# Moving failure rate above which an upstream is ejected, and the attempts
+# needed before the rate counts.
+MAX_FAILURE_RATE = 0.5
+MIN_ATTEMPTS = 8
+# Weight of the newest attempt in an upstream's moving averages.
+EWMA_WEIGHT = 0.1
+# Duration of the first ejection, doubled at each further one up to the
+# maximum.
+MIN_EJECTION_S = 2.0
+MAX_EJECTION_S = 30.0
+# With more than this share of the upstreams ejected, ejections are ignored:
+# the cause is common to all (overload, a network partition), and ejection
+# would only move the load to the rest. Losing two failure domains of three
+# stays below this share.
+MAX_EJECTED_SHARE = 0.8
+# A failure that took this many times the median latency counts as slow, for
+# example a timeout. Overload causes slow failures, and ejecting upstreams
+# for them adds load to the others, so a slow failure ejects an upstream only
+# while at most this share is ejected.
+SLOW_LATENCY_RATIO = 2.0
+MAX_SLOW_EJECTED_SHARE = 0.25
+# An upstream is ejected only if its failure rate exceeds that of the best
+# quarter by this much. In an outage that affects all upstreams, random
+# variation alone would otherwise eject one after the other.
+MIN_EXCESS_FAILURE_RATE = 0.2
+BASELINE_QUANTILE = 0.25
+# The baseline over all upstreams is recomputed after this time.
+BASELINE_MAX_AGE_S = 0.25
+# Duration of an ejection after a failed connect. A process that restarts
+# accepts connections again after about a second.
+UNREACHABLE_EJECTION_S = 1.0
+# A probe without an outcome after this time is replaced by another.
 PROBE_TIMEOUT_S = 10.0
 
 
-class _State:
-    """What is known of one upstream."""
+class _UpstreamState:
+    """The recent outcomes and the ejection of one upstream."""
 
     def __init__(self) -> None:
-        self.failed_in_a_row = 0
-        self.failed_share = 0.0
-        self.tries = 0
+        self.consecutive_failures = 0
+        self.failure_rate = 0.0
+        self.attempts = 0
         self.latency_s: float | None = None
         self.ejections = 0
-        self.until_s: float | None = None
-        self.probe_since_s: float | None = None
+        self.ejected_until_s: float | None = None
+        self.probe_started_s: float | None = None
 
 
-class _Common(typing.NamedTuple):
-    """Figures over all upstreams."""
+class _Baseline(typing.NamedTuple):
+    """What one upstream's failure rate and latency are compared with."""
 
-    best_failed_share: float
-    typical_s: float | None
+    failure_rate: float
+    median_latency_s: float | None
 
 
 class Ejector:
-    """Judge upstreams by the reports of their tries.
+    """Ejects upstreams by the outcomes of the attempts sent to them.
 
-    An engine that fails fast has nothing running and so looks the most
-    attractive to any choice by load; only its failures give it away.
+    An upstream that fails fast has no load, so routing by load would prefer
+    it; only its failure rate shows the fault.
     """
 
     def __init__(self, seed: int = 0) -> None:
         self._random = random.Random(seed)
-        self._states: dict[str, _State] = {}
-        self._bad: set[str] = set()
-        self._common = _Common(0.0, None)
-        self._common_s: float | None = None
+        self._states: dict[str, _UpstreamState] = {}
+        self._ejected: set[str] = set()
+        self._baseline = _Baseline(0.0, None)
+        self._baseline_at_s: float | None = None
 
     def set_upstreams(self, names: set[str]) -> None:
-        """Forget upstreams that left; the share of bad is of these."""
-        for gone in set(self._states) - names:
-            del self._states[gone]
-            self._bad.discard(gone)
+        """Set the known upstreams and drop the state of all others."""
+        for removed in set(self._states) - names:
+            del self._states[removed]
+            self._ejected.discard(removed)
         for name in names:
-            self._states.setdefault(name, _State())
+            self._states.setdefault(name, _UpstreamState())
 
-    def _all_bad(self) -> bool:
-        known = max(1, len(self._states))
-        return len(self._bad) > MOST_EJECTED * known
+    def _is_widespread_failure(self) -> bool:
+        total = max(1, len(self._states))
+        return len(self._ejected) > MAX_EJECTED_SHARE * total
 
-    def usable(self, upstream: str, now_s: float) -> bool:
-        """Return whether to send to the upstream; changes nothing."""
+    def is_available(self, upstream: str, now_s: float) -> bool:
+        """Return whether a request, or the probe, may be sent."""
         state = self._states.get(upstream)
-        if state is None or state.until_s is None or self._all_bad():
+        if (
+            state is None
+            or state.ejected_until_s is None
+            or self._is_widespread_failure()
+        ):
             return True
-        if now_s < state.until_s:
+        if now_s < state.ejected_until_s:
             return False
-        probe_since_s = state.probe_since_s
-        return probe_since_s is None or (
-            now_s > probe_since_s + PROBE_TIMEOUT_S
+        probe_started_s = state.probe_started_s
+        return probe_started_s is None or (
+            now_s > probe_started_s + PROBE_TIMEOUT_S
         )
 
-    def started(self, upstream: str, now_s: float) -> None:
-        """Note that a try was sent, which is the probe if half-open."""
+    def record_start(self, upstream: str, now_s: float) -> None:
+        """Record a sent attempt; the probe if the upstream is ejected."""
         state = self._states.get(upstream)
-        if state is not None and state.until_s is not None:
-            state.probe_since_s = now_s
+        if state is not None and state.ejected_until_s is not None:
+            state.probe_started_s = now_s
 
-    def report(
+    def record_outcome(
         self, upstream: str, ok: bool, latency_s: float, now_s: float
     ) -> None:
-        """Take the outcome of a try; cancelled tries are not reported."""
-        state = self._states.setdefault(upstream, _State())
-        self._refresh(now_s)
-        state.tries += 1
-        state.failed_share += NEWEST * ((not ok) - state.failed_share)
+        """Record the outcome of an attempt that was not cancelled."""
+        state = self._states.setdefault(upstream, _UpstreamState())
+        self._refresh_baseline(now_s)
+        state.attempts += 1
+        state.failure_rate += EWMA_WEIGHT * ((not ok) - state.failure_rate)
         if ok:
-            last_s = latency_s if state.latency_s is None else state.latency_s
-            state.latency_s = last_s + NEWEST * (latency_s - last_s)
-            self._succeeded(upstream, state, now_s)
+            previous_s = (
+                latency_s if state.latency_s is None else state.latency_s
+            )
+            state.latency_s = previous_s + EWMA_WEIGHT * (
+                latency_s - previous_s
+            )
+            self._on_success(upstream, state, now_s)
             return
-        state.failed_in_a_row += 1
-        if self._is_slow(latency_s) and not self._slow_may_go(upstream):
+        state.consecutive_failures += 1
+        if self._is_slow(latency_s) and not self._may_eject_slow(upstream):
             return
-        self._failed(upstream, state, now_s)
+        self._on_failure(upstream, state, now_s)
 
-    def unreachable(self, upstream: str, now_s: float) -> None:
-        """Take out an upstream that accepts no connection, at once.
+    def eject_unreachable(self, upstream: str, now_s: float) -> None:
+        """Eject an upstream after a single failed connect.
 
-        This is no matter of chance or of load, as a failed answer may be,
-        and each further try would cost its caller the time to connect.
+        Unlike a failed response, a failed connect is not caused by load, and
+        each further attempt would cost its caller the connect timeout.
         """
-        state = self._states.setdefault(upstream, _State())
-        until_s = now_s + UNREACHABLE_S * self._random.uniform(0.75, 1.25)
-        state.until_s = max(until_s, state.until_s or until_s)
-        state.probe_since_s = None
-        self._bad.add(upstream)
-
-    def _refresh(self, now_s: float) -> None:
-        """Work the common figures out anew if they are old."""
-        last_s = self._common_s
-        fresh = last_s is not None and now_s - last_s < COMMON_AGE_S
-        if fresh and self._common.typical_s is not None:
+        state = self._states.setdefault(upstream, _UpstreamState())
+        ejected_until_s = (
+            now_s + UNREACHABLE_EJECTION_S * self._random.uniform(0.75, 1.25)
+        )
+        state.ejected_until_s = max(
+            ejected_until_s, state.ejected_until_s or ejected_until_s
+        )
+        state.probe_started_s = None
+        self._ejected.add(upstream)
+
+    def _refresh_baseline(self, now_s: float) -> None:
+        """Recompute the baseline if it is too old."""
+        computed_at_s = self._baseline_at_s
+        fresh = (
+            computed_at_s is not None
+            and now_s - computed_at_s < BASELINE_MAX_AGE_S
+        )
+        if fresh and self._baseline.median_latency_s is not None:
             return
-        self._common_s = now_s
-        tried = [state for state in self._states.values() if state.tries]
-        known = [s.latency_s for s in tried if s.latency_s is not None]
-        shares = sorted(state.failed_share for state in tried)
-        best = shares[int(BEST_QUANTILE * len(shares))] if shares else 0.0
-        typical_s = statistics.median_low(known) if known else None
-        self._common = _Common(best, typical_s)
+        self._baseline_at_s = now_s
+        with_attempts = [
+            state for state in self._states.values() if state.attempts
+        ]
+        latencies = [
+            s.latency_s for s in with_attempts if s.latency_s is not None
+        ]
+        failure_rates = sorted(state.failure_rate for state in with_attempts)
+        baseline = (
+            failure_rates[int(BASELINE_QUANTILE * len(failure_rates))]
+            if failure_rates
+            else 0.0
+        )
+        median_latency_s = (
+            statistics.median_low(latencies) if latencies else None
+        )
+        self._baseline = _Baseline(baseline, median_latency_s)
 
     def _is_slow(self, latency_s: float) -> bool:
-        typical_s = self._common.typical_s
-        return typical_s is not None and latency_s > SLOW_TIMES * typical_s
-
-    def _slow_may_go(self, upstream: str) -> bool:
-        out = len(self._bad - {upstream}) + 1
-        return out <= MOST_SLOW_EJECTED * len(self._states)
-
-    def _succeeded(self, upstream: str, state: _State, now_s: float) -> None:
-        state.failed_in_a_row = 0
-        if state.until_s is not None:
-            if now_s < state.until_s and not self._all_bad():
-                # A try sent before the ejection; only a probe readmits.
+        median_latency_s = self._baseline.median_latency_s
+        return (
+            median_latency_s is not None
+            and latency_s > SLOW_LATENCY_RATIO * median_latency_s
+        )
+
+    def _may_eject_slow(self, upstream: str) -> bool:
+        ejected = len(self._ejected - {upstream}) + 1
+        return ejected <= MAX_SLOW_EJECTED_SHARE * len(self._states)
+
+    def _on_success(
+        self, upstream: str, state: _UpstreamState, now_s: float
+    ) -> None:
+        state.consecutive_failures = 0
+        if state.ejected_until_s is not None:
+            if (
+                now_s < state.ejected_until_s
+                and not self._is_widespread_failure()
+            ):
+                # Sent before the ejection; only a probe readmits.
                 return
-            state.until_s = None
-            state.probe_since_s = None
-            state.failed_share = 0.0
-            state.tries = 0
-        elif state.tries > LEAST_TRIES and state.failed_share < 0.05:
+            state.ejected_until_s = None
+            state.probe_started_s = None
+            state.failure_rate = 0.0
+            state.attempts = 0
+        elif state.attempts > MIN_ATTEMPTS and state.failure_rate < 0.05:
             state.ejections = 0
-        self._bad.discard(upstream)
+        self._ejected.discard(upstream)
 
-    def _failed(self, upstream: str, state: _State, now_s: float) -> None:
-        in_a_row = state.failed_in_a_row >= FAILURES_IN_A_ROW
-        often = state.tries >= LEAST_TRIES and state.failed_share > BAD_SHARE
-        if not (in_a_row or often or state.until_s is not None):
+    def _on_failure(
+        self, upstream: str, state: _UpstreamState, now_s: float
+    ) -> None:
+        repeated = state.consecutive_failures >= CONSECUTIVE_FAILURES
+        frequent = (
+            state.attempts >= MIN_ATTEMPTS
+            and state.failure_rate > MAX_FAILURE_RATE
+        )
+        if not (repeated or frequent or state.ejected_until_s is not None):
             return
-        best = self._common.best_failed_share
-        if state.failed_share < best + WORSE_THAN_BEST:
+        baseline = self._baseline.failure_rate
+        if state.failure_rate < baseline + MIN_EXCESS_FAILURE_RATE:
             return
-        self._bad.add(upstream)
-        if state.until_s is not None and now_s < state.until_s:
+        self._ejected.add(upstream)
+        if state.ejected_until_s is not None and now_s < state.ejected_until_s:
             return
         state.ejections += 1
-        longest_s = FIRST_EJECTION_S * 2.0 ** (state.ejections - 1)
-        out_s = min(longest_s, LONGEST_EJECTION_S)
-        # Jitter, so that VMs which ejected together do not probe together.
-        state.until_s = now_s + out_s * self._random.uniform(0.75, 1.25)
-        state.probe_since_s = None
+        backoff_s = MIN_EJECTION_S * 2.0 ** (state.ejections - 1)
+        ejection_s = min(backoff_s, MAX_EJECTION_S)
+        # The jitter spreads the probes of VMs that ejected it together.
+        state.ejected_until_s = now_s + ejection_s * self._random.uniform(
+            0.75, 1.25
+        )
+        state.probe_started_s = None
 
-    def slowness(self, upstream: str) -> float:
-        """Return how many times the typical latency the upstream takes.
+    def latency_ratio(self, upstream: str) -> float:
+        """Return the upstream's latency as a multiple of the median.
 
-        A slow upstream still works, so it is not ejected: with half of
-        them slow that would throw away capacity. The choice weighs it.
+        A slow upstream that succeeds is not ejected, as its capacity may be
+        needed; callers may prefer others by this ratio.
         """
-        typical_s = self._common.typical_s
+        median_latency_s = self._baseline.median_latency_s
         state = self._states.get(upstream)
-        if state is None or state.latency_s is None or not typical_s:
+        if state is None or state.latency_s is None or not median_latency_s:
             return 1.0
-        return state.latency_s / typical_s
+        return state.latency_s / median_latency_s
--- a/gentianstair/entry/tries.py
+++ b/gentianstair/entry/tries.py
@@ -40,7 +40,7 @@
     node: nodes.Node, names: list[str], failed: set[str]
 ) -> frozenset[str]:
     now_s = node.clock()
-    out = {n for n in names if not node.ejector.usable(n, now_s)}
+    out = {n for n in names if not node.ejector.is_available(n, now_s)}
     return frozenset(out | failed)
 
 
@@ -77,7 +77,7 @@
         node.router.first_token(choice, request.work, first_s)
 
     node.router.started(choice, request.work, started_s)
-    node.ejector.started(choice.upstream, started_s)
+    node.ejector.record_start(choice.upstream, started_s)
     usage = streams.Usage()
     failed = False
     try:
@@ -92,7 +92,9 @@
         # The true time: a time-out counted as a fast failure would let
         # slow upstreams be ejected like dead ones.
         now_s = node.clock()
-        node.ejector.report(choice.upstream, False, now_s - started_s, now_s)
+        node.ejector.record_outcome(
+            choice.upstream, False, now_s - started_s, now_s
+        )
         raise
     finally:
         node.router.finished(
@@ -104,7 +106,7 @@
             failed,
         )
     latency_s = (first_s or node.clock()) - started_s
-    node.ejector.report(choice.upstream, True, latency_s, node.clock())
+    node.ejector.record_outcome(choice.upstream, True, latency_s, node.clock())
     return usage
 
 
--- a/gentianstair/gateway/task.py
+++ b/gentianstair/gateway/task.py
@@ -101,7 +101,7 @@
         good = [
             replica
             for replica in found
-            if self.node.ejector.usable(self._key(replica), now_s)
+            if self.node.ejector.is_available(self._key(replica), now_s)
         ]
         fresh = [r for r in good or found if r.name not in self.tried]
         return fresh or [r for r in found if r.name not in self.tried]
@@ -117,7 +117,7 @@
         return [
             replica
             for replica in self.node.registry.keeping(self.service, leaving_s)
-            if self.node.ejector.usable(self._key(replica), now_s)
+            if self.node.ejector.is_available(self._key(replica), now_s)
         ]
 
     def _key(self, replica: replicas.Replica) -> str:
@@ -128,13 +128,13 @@
         now_s = self.node.clock()
         self.sent += 1
         self.tried.add(replica.name)
-        self.node.ejector.started(self._key(replica), now_s)
+        self.node.ejector.record_start(self._key(replica), now_s)
         return now_s
 
     def succeeded(self, replica: replicas.Replica, started_s: float) -> None:
         """Tell the ejector that a sending went well."""
         now_s = self.node.clock()
-        self.node.ejector.report(
+        self.node.ejector.record_outcome(
             self._key(replica), True, now_s - started_s, now_s
         )
 
@@ -154,12 +154,14 @@
         if isinstance(error, errors.UnreachableError):
             self.sent -= 1
             self.unreached += 1
-            self.node.ejector.unreachable(key, now_s)
+            self.node.ejector.eject_unreachable(key, now_s)
             loguru.logger.bind(
                 event=events.REPLICA_UNREACHABLE, replica=replica.name
             ).info('no connection to a replica; it is passed over')
         elif not isinstance(error, errors.TurnedAwayError):
-            self.node.ejector.report(key, False, now_s - started_s, now_s)
+            self.node.ejector.record_outcome(
+                key, False, now_s - started_s, now_s
+            )
         self.note(error.verdict)
         self.tell(
             events.TRY_FAILED,
--- a/test/entry/test_retries.py
+++ b/test/entry/test_retries.py
@@ -70,12 +70,12 @@
     ejector.set_upstreams(set(names))
     for name in names:
         for _ in range(10):
-            ejector.report(name, True, 1.0, 0.0)
+            ejector.record_outcome(name, True, 1.0, 0.0)
     return ejector
 
 
 def usable(ejector, names, now_s):
-    found = [name for name in names if ejector.usable(name, now_s)]
+    found = [name for name in names if ejector.is_available(name, now_s)]
     return ''.join(found)
 
 
@@ -100,9 +100,9 @@
     for step in range(20):
         for name in names:
             if name in bad:
-                ejector.report(name, False, latency_s, step * 0.05)
+                ejector.record_outcome(name, False, latency_s, step * 0.05)
             else:
-                ejector.report(name, True, 1.0, step * 0.05)
+                ejector.record_outcome(name, True, 1.0, step * 0.05)
     assert usable(ejector, names, 1.0) == left
 
 
@@ -110,16 +110,16 @@
     """A process is gone, and its entry stays for some seconds."""
     ejector = ejection.Ejector()
     for name in ('u1', 'u2', 'u3'):
-        ejector.report(name, True, 0.1, 10.0)
-    ejector.unreachable('u1', 10.0)
-    assert not ejector.usable('u1', 10.5)
-    later_s = 10.0 + 1.25 * ejection.UNREACHABLE_S
-    assert ejector.usable('u1', later_s)
+        ejector.record_outcome(name, True, 0.1, 10.0)
+    ejector.eject_unreachable('u1', 10.0)
+    assert not ejector.is_available('u1', 10.5)
+    later_s = 10.0 + 1.25 * ejection.UNREACHABLE_EJECTION_S
+    assert ejector.is_available('u1', later_s)
     # One probe at a time, and its success brings it back.
-    ejector.started('u1', later_s)
-    assert not ejector.usable('u1', later_s)
-    ejector.report('u1', True, 0.1, later_s + 0.1)
-    assert ejector.usable('u1', later_s + 0.1)
+    ejector.record_start('u1', later_s)
+    assert not ejector.is_available('u1', later_s)
+    ejector.record_outcome('u1', True, 0.1, later_s + 0.1)
+    assert ejector.is_available('u1', later_s + 0.1)
 
 
 def test_half_open_return_takes_one_probe():
@@ -127,13 +127,13 @@
     # on it while it is cold; one probe decides.
     ejector = make_ejector('ab')
     for _ in range(3):
-        ejector.report('a', False, 0.0, 1.0)
+        ejector.record_outcome('a', False, 0.0, 1.0)
     assert usable(ejector, 'ab', 1.1) == 'b'
     assert usable(ejector, 'ab', 5.0) == 'ab'
-    ejector.started('a', 5.0)
+    ejector.record_start('a', 5.0)
     assert usable(ejector, 'ab', 5.1) == 'b'
-    ejector.report('a', False, 0.0, 5.2)
+    ejector.record_outcome('a', False, 0.0, 5.2)
     assert usable(ejector, 'ab', 5.3) == 'b'
-    ejector.started('a', 12.0)
-    ejector.report('a', True, 1.0, 12.1)
+    ejector.record_start('a', 12.0)
+    ejector.record_outcome('a', True, 1.0, 12.1)
     assert usable(ejector, 'ab', 12.2) == 'ab'
