--- a/gentianstair/control/duties.py
+++ b/gentianstair/control/duties.py
@@ -156,7 +156,7 @@
             )
 
 
-def scopes(context: Context) -> dict[str, lease.Role]:
+def scopes(context: Context) -> dict[str, lease.HolderTask]:
     """Return the scopes that exist now and the role of their holders."""
     found = {}
     for scope in (USAGE_SCOPE, CAPACITY_SCOPE):
--- a/gentianstair/control/main.py
+++ b/gentianstair/control/main.py
@@ -76,7 +76,7 @@
 
 
 def create_app(
-    config: generated.ControlSettings, leases: lease.Leases
+    config: generated.ControlSettings, leases: lease.LeaseManager
 ) -> quart_trio.QuartTrio:
     """Return the application with health and metrics."""
     app = quart_trio.QuartTrio('gentianstair.control')
@@ -87,7 +87,7 @@
 
     @app.get('/readyz')
     async def readyz():
-        age_s = leases.look_age_s()
+        age_s = leases.listing_age_s()
         ready = age_s < config.lease_duration_s
         held = {
             scope: authority.epoch for scope, authority in leases.held.items()
@@ -106,7 +106,7 @@
 
 
 async def _count_candidates(
-    seen: presence.Presence, leases: lease.Leases, every_s: float
+    seen: presence.Presence, leases: lease.LeaseManager, every_s: float
 ) -> None:
     """Tell the leases who else there is."""
     while True:
@@ -128,11 +128,11 @@
     context = make_context(config)
     # New at each start: a restarted process is not its predecessor.
     holder = f'{config.vm_name}.{settled.new_nonce()}'
-    leases = lease.make_leases(
+    leases = lease.make_lease_manager(
         context.store,
         holder,
         context.clock,
-        lease.Terms(config.lease_duration_s, config.lease_margin_s),
+        lease.LeaseTiming(config.lease_duration_s, config.lease_margin_s),
     )
     host, port = sock.getsockname()[:2]
     seen = presence.make_presence(
@@ -158,7 +158,7 @@
 
 def check_terms(config: generated.ControlSettings) -> None:
     """Raise SettingsError when no order could ever be sent in time."""
-    renewed_s = config.lease_duration_s * (1 - 1 / lease.RENEWALS)
+    renewed_s = config.lease_duration_s * (1 - 1 / lease.RENEWALS_PER_DURATION)
     if renewed_s - config.lease_margin_s <= config.order_lifetime_s:
         raise errors.SettingsError(
             '--order-lifetime-s: must be below two thirds of'
--- a/gentianstair/control/orders.py
+++ b/gentianstair/control/orders.py
@@ -174,7 +174,7 @@
         ORDERS.labels(outcome.value).inc()
         await self._write(engine, record, order, outcome.value)
         if outcome is orders_client.Outcome.STALE_EPOCH:
-            authority.end()
+            authority.revoke()
             raise errors.LeaseLostError(f'{engine.name}: a newer epoch')
         return outcome
 
--- a/gentianstair/entry/claim_links.py
+++ b/gentianstair/entry/claim_links.py
@@ -9,7 +9,7 @@
 import trio
 
 from gentianstair import errors
-from gentianstair.control import preference
+from gentianstair.control import rendezvous
 from gentianstair.entry import claim_shard
 from gentianstair.entry import claims as claimses
 from gentianstair.generated import messages
@@ -131,7 +131,7 @@
         if owner is None:
             owner = max(
                 self._presence.found if self._presence else [self._vm_name],
-                key=lambda name: preference.rank(shard_name, name),
+                key=lambda name: rendezvous.score(shard_name, name),
             )
             self._chosen[shard_name] = owner
         return owner if owner in self._links else None
--- a/gentianstair/gateway/duties.py
+++ b/gentianstair/gateway/duties.py
@@ -142,20 +142,20 @@
             )
 
 
-def lease_terms(lease_s: float) -> lease.Terms:
+def lease_terms(lease_s: float) -> lease.LeaseTiming:
     """Return the lease's terms from the time in which holders may not turn.
 
     A holder acts for less than lease_s after its last renewal and its
     successor waits for longer, so two never act within it by turns.
     """
-    return lease.Terms(
+    return lease.LeaseTiming(
         duration_s=lease_s,
         margin_s=0.1 * lease_s,
-        rest_s=lease_s + REST_MARGIN_S,
+        cooldown_s=lease_s + REST_MARGIN_S,
     )
 
 
 def watch_s(lease_s: float) -> float:
     """Return how long a new process rests and then watches a lease."""
     terms = lease_terms(lease_s)
-    return terms.rest_s + terms.duration_s + terms.margin_s
+    return terms.cooldown_s + terms.duration_s + terms.margin_s
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -77,7 +77,7 @@
 
     node: nodes.Node
     members: memberships.Members
-    leases: lease.Leases
+    leases: lease.LeaseManager
     reporter: duties.UsageReporter
     fleet: fleets.Fleet
     touch: following.Touch
@@ -105,7 +105,7 @@
         store, name, record, counts, now, found.store_writes_per_s, costs
     )
     node = _make_node(live, store, counts, members, costs, nursery)
-    leases = lease.make_leases(
+    leases = lease.make_lease_manager(
         store, name, now, duties.lease_terms(bounds.lease_s)
     )
     platform = cloud.Cloud(found.duties_address, found.vm)
@@ -269,11 +269,11 @@
     if not found.whole_system_starts:
         # The process before this one may have held the lease a moment ago;
         # to take it right after another would be taking turns.
-        await trio.sleep(duties.lease_terms(found.bounds.lease_s).rest_s)
+        await trio.sleep(duties.lease_terms(found.bounds.lease_s).cooldown_s)
     scopes = {duties.SCOPE: functools.partial(_do_duties, process)}
     roster = process.node.roster
 
-    def scopes_here() -> dict[str, lease.Role]:
+    def scopes_here() -> dict[str, lease.HolderTask]:
         # Each look at the lease is a call to the store; a few VMs that look
         # are enough to have it taken.
         return scopes if roster.is_hub() else {}
--- a/test/control/test_authority.py
+++ b/test/control/test_authority.py
@@ -10,7 +10,7 @@
 from standins import chaos
 from standins import checkers
 
-TERMS = lease.Terms(12.0, 1.0)
+TERMS = lease.LeaseTiming(12.0, 1.0)
 LIFETIME_S = 6.0
 TIMEOUT_S = 1.0
 SCOPES = ('north', 'south')
@@ -40,7 +40,7 @@
             chaos.ChaosPlatform(self.process, LIFETIME_S),
             LIFETIME_S,
         )
-        self.leases = lease.make_leases(
+        self.leases = lease.make_lease_manager(
             self.store, name, self.process.clock, TERMS
         )
 
--- a/test/gateway/test_duty_protocol.py
+++ b/test/gateway/test_duty_protocol.py
@@ -97,7 +97,9 @@
         members = memberships.Members(
             store, name, record, counts, process.clock, 400
         )
-        leases = lease.make_leases(store, name, process.clock, self.terms)
+        leases = lease.make_lease_manager(
+            store, name, process.clock, self.terms
+        )
         cloud = Cloud(process, self.name, self.guarded)
         reporter = duties.UsageReporter(
             store,
@@ -112,7 +114,7 @@
             nursery.start_soon(self.count, counts)
             nursery.start_soon(self.candidates, members, leases)
             if not at_first:
-                await trio.sleep(self.terms.rest_s)
+                await trio.sleep(self.terms.cooldown_s)
             nursery.start_soon(
                 leases.run, lambda: {duties.SCOPE: reporter.run}
             )
