--- a/gentianstair/bench/shift.py
+++ b/gentianstair/bench/shift.py
@@ -8,7 +8,7 @@
 
 from gentianstair.bench import fleet
 from gentianstair.bench import shifts
-from gentianstair.control import roles
+from gentianstair.control import role_planner
 from gentianstair.entry import routing
 from standins.engine import model
 from standins.engine import orders
@@ -64,37 +64,41 @@
         """Know it already."""
 
     def plan(
-        self, engines: typing.Sequence[roles.EngineView], now_s: float
-    ) -> list[roles.Change]:
+        self, engines: typing.Sequence[role_planner.EngineView], now_s: float
+    ) -> list[role_planner.Change]:
         """Return the next change towards what is best."""
         if any(item.state != 'serving' for item in engines):
             return []
         wanted = [turn for turn in self._turns if turn.at_s <= now_s][-1]
-        readers = [item for item in engines if item.role == roles.PREFILL]
-        others = [item for item in engines if item.role != roles.PREFILL]
+        readers = [
+            item for item in engines if item.role == role_planner.PREFILL
+        ]
+        others = [
+            item for item in engines if item.role != role_planner.PREFILL
+        ]
         if len(readers) == wanted.prefill:
             return []
         grow = len(readers) < wanted.prefill
-        role = roles.PREFILL if grow else roles.MIXED
+        role = role_planner.PREFILL if grow else role_planner.MIXED
         engine = min(
             others if grow else readers, key=lambda item: item.running
         )
-        return [roles.Change(engine.name, role, {})]
+        return [role_planner.Change(engine.name, role, {})]
 
 
 ARMS: dict[str, Arm] = {
     # Sized for the mix at the start, as an operator would leave it.
     'fixed_split': Arm(
         lambda n: _first(1, 'prefill', 'decode', n),
-        lambda *_: roles.FixedRoles(),
+        lambda *_: role_planner.FixedRoles(),
     ),
     'fixed_mixed': Arm(
         lambda n: _first(0, 'prefill', 'mixed', n),
-        lambda *_: roles.FixedRoles(),
+        lambda *_: role_planner.FixedRoles(),
     ),
     'ours': Arm(
         lambda n: _first(0, 'prefill', 'mixed', n),
-        lambda *_: roles.make_planner(),
+        lambda *_: role_planner.make_planner(),
     ),
     'oracle': Arm(
         lambda n: _first(Oracle.DRAFTING, 'prefill', 'mixed', n), Oracle
@@ -102,7 +106,7 @@
     # The best of fixed roles, known only afterwards.
     'fixed_best': Arm(
         lambda n: _first(2, 'prefill', 'mixed', n),
-        lambda *_: roles.FixedRoles(),
+        lambda *_: role_planner.FixedRoles(),
     ),
 }
 DEFAULT_ARMS = ('fixed_split', 'fixed_mixed', 'ours', 'oracle')
@@ -116,7 +120,7 @@
     ) -> None:
         self.run = run
         self.infos = {info.name: info for info in infos}
-        self.changes: list[tuple[float, roles.Change]] = []
+        self.changes: list[tuple[float, role_planner.Change]] = []
 
     async def tell(self, name: str, **fields: str) -> None:
         """Let all routers know, a little late."""
@@ -125,7 +129,7 @@
         for router in self.run.routers:
             router.set_upstreams(self.infos.values())
 
-    async def carry_out(self, change: roles.Change) -> None:
+    async def carry_out(self, change: role_planner.Change) -> None:
         """Stop new work at an engine, change its role, bring it back."""
         self.changes.append((trio.current_time(), change))
         name = change.upstream
@@ -133,10 +137,10 @@
         await orders.set_role(self.run.engines[name], change.role)
         await self.tell(name, role=change.role, state='serving')
 
-    def views(self) -> list[roles.EngineView]:
+    def views(self) -> list[role_planner.EngineView]:
         """Return what the planner may know of the engines."""
         return [
-            roles.EngineView(
+            role_planner.EngineView(
                 info.name,
                 info.role,
                 info.state,
--- a/gentianstair/control/__init__.py
+++ b/gentianstair/control/__init__.py
@@ -1,1 +1,1 @@
-"""Plan and order what upstreams do, under a lease."""
+"""Control plane: leases, orders to upstreams, role planning and usage."""
--- a/gentianstair/control/follow.py
+++ b/gentianstair/control/config_watch.py
@@ -1,4 +1,4 @@
-"""Follow the configuration that control processes need."""
+"""Keep the configuration of a control process current by a store watch."""
 
 import loguru
 import trio
@@ -9,12 +9,12 @@
 
 KINDS = ('upstream', 'bundle', 'accepted', 'customer')
 PURPOSE = 'config'
-WATCH_S = 20.0
-RETRY_S = 0.5
+WATCH_TIMEOUT_S = 20.0
+RETRY_DELAY_S = 0.5
 
 
 async def _list_all(store: stores.Store, view: views.View) -> int:
-    """Take all objects; return the revision to watch from."""
+    """Load all objects; return the revision to watch from."""
     revisions = []
     for kind in KINDS:
         listing = await store.list(kind, purpose=PURPOSE)
@@ -24,19 +24,19 @@
 
 
 async def run(store: stores.Store, view: views.View) -> None:
-    """Keep view current until cancelled."""
+    """Keep the view current until cancelled."""
     revision = -1
     while True:
         try:
             if revision < 0:
                 revision = await _list_all(store, view)
             changes = await store.watch(
-                KINDS, revision, WATCH_S, purpose=PURPOSE
+                KINDS, revision, WATCH_TIMEOUT_S, purpose=PURPOSE
             )
             view.apply(changes.objects)
             revision = max(revision, changes.revision)
         except errors.WatchTooOldError:
             revision = -1
         except errors.StoreError as error:
-            loguru.logger.warning('store: {}', error)
-            await trio.sleep(RETRY_S)
+            loguru.logger.warning('watching the configuration: {}', error)
+            await trio.sleep(RETRY_DELAY_S)
--- a/gentianstair/control/duties.py
+++ b/gentianstair/control/duties.py
@@ -1,4 +1,4 @@
-"""Name the scopes there are, and what the holder of each one does."""
+"""Define the scopes and the periodic duties of each scope's holder."""
 
 import collections.abc
 import functools
@@ -11,10 +11,10 @@
 from gentianstair import errors
 from gentianstair import verdict
 from gentianstair.config import view as views
+from gentianstair.control import engine_orders
 from gentianstair.control import lease
-from gentianstair.control import orders as engine_orders
 from gentianstair.control import upstream_orders
-from gentianstair.control import usage
+from gentianstair.control import usage_sealer
 from gentianstair.generated import messages
 from gentianstair.generated import settings
 from gentianstair.store import store as stores
@@ -24,62 +24,69 @@
 CAPACITY_SCOPE = 'capacity'
 ENGINES_PREFIX = 'engines-'
 LEAVING_STATES = ('draining', 'withdrawn')
-LOOK_S = 1.0
-USAGE_LOOK_S = 2.0
-LOAD_TIMEOUT_S = 2.0
+DRAIN_INTERVAL_S = 1.0
+USAGE_INTERVAL_S = 2.0
+LOAD_REQUEST_TIMEOUT_S = 2.0
 
 
 class Context(typing.NamedTuple):
-    """What duties work with."""
+    """The settings, clients and state that duties share."""
 
     settings: settings.ControlSettings
     clock: clocks.Clock
     store: stores.Store
     view: views.View
-    orders: engine_orders.Orders
+    orders: engine_orders.EngineOrders
     upstream_orders: upstream_orders.UpstreamOrders
-    sealer: usage.Sealer
+    sealer: usage_sealer.Sealer
     client: httpx.AsyncClient
 
 
-# A duty runs for as long as its authority stands. It may let StoreError,
-# UpstreamError and LeaseLostError out of one round; see ``repeat``.
-Round = collections.abc.Callable[
+# One run of a duty. It may raise StoreError and UpstreamError, after which
+# it is tried again, and LeaseLostError, which ends it.
+RunOnce = collections.abc.Callable[
     [Context, lease.Authority], collections.abc.Awaitable[None]
 ]
 
 
-def engines(
+def engines_of_domain(
     context: Context, failure_domain: str
 ) -> dict[str, messages.UpstreamValue]:
     """Return the engines of a failure domain by name."""
-    found = {}
+    engines = {}
     for name in context.view.names('upstream'):
         value = typing.cast(
             messages.UpstreamValue, context.view.upstream(name)
         )
-        mine = value['failure_domain'] == failure_domain
-        if mine and value['type'] == 'engine':
-            found[name] = value
-    return found
-
-
-def target(name: str, value: messages.UpstreamValue) -> engine_orders.Engine:
-    """Return an engine as orders need it."""
-    return engine_orders.Engine(name, value['url'], value['checks_fencing'])
-
-
-async def repeat(
-    context: Context, authority: lease.Authority, round_: Round, every_s: float
+        in_domain = value['failure_domain'] == failure_domain
+        if in_domain and value['type'] == 'engine':
+            engines[name] = value
+    return engines
+
+
+def order_target(
+    name: str, value: messages.UpstreamValue
+) -> engine_orders.EngineTarget:
+    """Return the target of orders to an engine."""
+    return engine_orders.EngineTarget(
+        name, value['url'], value['checks_fencing']
+    )
+
+
+async def run_periodically(
+    context: Context,
+    authority: lease.Authority,
+    run_once: RunOnce,
+    interval_s: float,
 ) -> None:
-    """Run rounds of a duty; a failed one is logged and tried again."""
+    """Run a duty until its authority lapses; log failed runs."""
     while True:
         authority.check()
         try:
-            await round_(context, authority)
+            await run_once(context, authority)
         except (errors.StoreError, errors.UpstreamError) as error:
             loguru.logger.warning('{}: {}', authority.scope, error)
-        await trio.sleep(every_s)
+        await trio.sleep(interval_s)
 
 
 async def seal_usage(context: Context, authority: lease.Authority) -> None:
@@ -87,21 +94,23 @@
     await context.sealer.run_once(authority)
 
 
-async def follow_states(context: Context, authority: lease.Authority) -> None:
+async def reconcile_drains(
+    context: Context, authority: lease.Authority
+) -> None:
     """Drain engines that operators withdraw, and undrain the others.
 
-    Entries give a leaving engine no work from the moment they see its
-    object; the order makes the engine refuse what still comes.
+    Entries stop routing to a leaving engine when they see its object; the
+    drain order makes the engine refuse requests that still arrive.
     """
     domain = authority.scope.removeprefix(ENGINES_PREFIX)
-    for name, value in engines(context, domain).items():
+    for name, value in engines_of_domain(context, domain).items():
         leaving = value['state'] in LEAVING_STATES
         try:
             state = await _engine_state(context, value['url'])
-            order = await _wanted_order(context, value['url'], leaving, state)
+            order = await _drain_order(context, value['url'], leaving, state)
             if order is not None:
                 await context.orders.order(
-                    authority, target(name, value), order, ''
+                    authority, order_target(name, value), order, ''
                 )
         except errors.UpstreamError as error:
             loguru.logger.info('{}: {}', name, error)
@@ -110,7 +119,7 @@
 async def _engine_state(context: Context, url: str) -> str:
     try:
         answer = await context.client.get(
-            f'{url}/load', timeout=LOAD_TIMEOUT_S
+            f'{url}/load', timeout=LOAD_REQUEST_TIMEOUT_S
         )
         return str(answer.json()['state'])
     except (httpx.HTTPError, ValueError, KeyError, TypeError) as error:
@@ -118,56 +127,62 @@
         raise errors.UpstreamError(f'{url}: {error!r}', known) from error
 
 
-async def _wanted_order(
+async def _drain_order(
     context: Context, url: str, leaving: bool, state: str
 ) -> str | None:
     if leaving:
         return 'drain' if state == 'serving' else None
     if state != 'draining':
         return None
-    # An engine also drains on its way to another role; only one that was
-    # told to drain is told to stop draining.
+    # An engine also drains while it changes its role; undrain it only if its
+    # last order was to drain.
     last = await context.orders.last(url)
     return 'undrain' if last['type'] == 'drain' else None
 
 
 class Duty(typing.NamedTuple):
-    """One thing the holder of a scope does, every so many seconds."""
+    """Work that the holder of a scope repeats at an interval."""
 
-    round: Round
-    every_s: float
+    run_once: RunOnce
+    interval_s: float
 
 
-# Planners of roles and of capacity add themselves here.
+# The role planner and the capacity planner append to these lists.
 DUTIES: dict[str, list[Duty]] = {
-    USAGE_SCOPE: [Duty(seal_usage, USAGE_LOOK_S)],
+    USAGE_SCOPE: [Duty(seal_usage, USAGE_INTERVAL_S)],
     CAPACITY_SCOPE: [],
-    ENGINES_PREFIX: [Duty(follow_states, LOOK_S)],
+    ENGINES_PREFIX: [Duty(reconcile_drains, DRAIN_INTERVAL_S)],
 }
 
 
-async def _serve(
+async def _run_duties(
     context: Context, duties: list[Duty], authority: lease.Authority
 ) -> None:
     async with trio.open_nursery() as nursery:
         for duty in duties:
             nursery.start_soon(
-                repeat, context, authority, duty.round, duty.every_s
+                run_periodically,
+                context,
+                authority,
+                duty.run_once,
+                duty.interval_s,
             )
 
 
-def scopes(context: Context) -> dict[str, lease.HolderTask]:
-    """Return the scopes that exist now and the role of their holders."""
-    found = {}
+def make_holder_tasks(context: Context) -> dict[str, lease.HolderTask]:
+    """Return the scopes that exist now and the task of each holder."""
+    tasks = {}
     for scope in (USAGE_SCOPE, CAPACITY_SCOPE):
         if DUTIES[scope]:
-            found[scope] = functools.partial(_serve, context, DUTIES[scope])
+            tasks[scope] = functools.partial(
+                _run_duties, context, DUTIES[scope]
+            )
     domains = {
         context.view.upstream(name)['failure_domain']
         for name in context.view.names('upstream')
     }
     for domain in sorted(domains):
-        found[f'{ENGINES_PREFIX}{domain}'] = functools.partial(
-            _serve, context, DUTIES[ENGINES_PREFIX]
+        tasks[f'{ENGINES_PREFIX}{domain}'] = functools.partial(
+            _run_duties, context, DUTIES[ENGINES_PREFIX]
         )
-    return found
+    return tasks
--- a/gentianstair/control/orders.py
+++ b/gentianstair/control/engine_orders.py
@@ -1,4 +1,4 @@
-"""Give each engine one order at a time, under the authority of a lease."""
+"""Send each engine one order at a time, under the authority of a lease."""
 
 import collections
 import collections.abc
@@ -27,19 +27,19 @@
 ORDERS = prometheus_client.Counter(
     'gentianstair_engine_orders', 'Orders to engines', ['outcome']
 )
-LEFT_OVER = prometheus_client.Counter(
+UNSETTLED_ORDERS = prometheus_client.Counter(
     'gentianstair_engine_orders_left_over',
     'Orders whose outcome had to be asked of the engine',
     ['found'],
 )
-FOREIGN = prometheus_client.Counter(
+FOREIGN_ORDERS = prometheus_client.Counter(
     'gentianstair_engine_orders_foreign',
     'Engines whose last order is not the one in the record',
 )
 
 
-class Engine(typing.NamedTuple):
-    """Where an engine is and whether it checks the epoch of orders."""
+class EngineTarget(typing.NamedTuple):
+    """An engine's address and whether it checks the epoch of orders."""
 
     name: str
     url: str
@@ -47,7 +47,7 @@
 
 
 class OrderClient(typing.Protocol):
-    """What Orders needs of an orders_client."""
+    """The part of orders_client.OrdersClient that EngineOrders uses."""
 
     async def send(
         self,
@@ -61,7 +61,10 @@
         """See OrdersClient.last."""
 
 
-_TAKEN = (orders_client.Outcome.DONE, orders_client.Outcome.ACCEPTED)
+_ACCEPTED_OUTCOMES = (
+    orders_client.Outcome.DONE,
+    orders_client.Outcome.ACCEPTED,
+)
 
 
 class _Record(typing.NamedTuple):
@@ -71,12 +74,12 @@
     value: messages.EngineOrderValue | None
 
 
-class Orders:
-    """The orders of one process.
+class EngineOrders:
+    """Sends the orders of one process to engines.
 
-    The record of an engine is written before an order is sent (the intent)
-    and after its outcome is known. Both are conditional updates, so of two
-    holders that both believe they are in charge one fails before it sends.
+    An engine's record is written before an order is sent (as intended) and
+    after its outcome is known. Both writes are conditional, so if two
+    processes believe to hold the lease, one of them fails before it sends.
     """
 
     def __init__(
@@ -84,32 +87,32 @@
         store: stores.Store,
         client: OrderClient,
         clock: clocks.Clock,
-        lifetime_s: float,
+        order_lifetime_s: float,
     ) -> None:
         self._store = store
         self._client = client
         self._clock = clock
-        self._lifetime_s = lifetime_s
+        self._order_lifetime_s = order_lifetime_s
         self._locks: dict[str, trio.Lock] = collections.defaultdict(trio.Lock)
 
     async def order(
         self,
         authority: lease.Authority,
-        engine: Engine,
+        engine: EngineTarget,
         type_: str,
         argument: str,
     ) -> orders_client.Outcome:
-        """Give one order and return what the engine answered.
+        """Send one order and return the engine's outcome.
 
-        Raise LeaseLostError when authority lapsed, StoreError when the
-        record can't be written (nothing was sent), and UpstreamError when
-        the engine did not answer; with verdict MAY_HAVE_RUN the record then
-        stays open, and the next order first asks the engine what it did.
+        Raise LeaseLostError if the authority lapsed, StoreError if the
+        record can't be written (nothing was sent), and UpstreamError if the
+        engine did not respond. With verdict MAY_HAVE_RUN the record then
+        stays intended, and the next order first settles it with the engine.
         """
         async with self._locks[engine.name]:
             record = await self._read(engine)
-            record = await self._resolve(authority, engine, record)
-            await self._inspect(engine, record)
+            record = await self._settle(authority, engine, record)
+            await self._check_foreign(engine, record)
             last = record.value
             order = orders_client.Order(
                 authority.epoch,
@@ -126,21 +129,23 @@
                 typing.cast(stores.Value | None, last),
                 order._asdict(),
             )
-            change = await audit.record(self._store, entry)
-            ended = audit.Outcome.UNKNOWN
+            entry_name = await audit.record(self._store, entry)
+            audit_outcome = audit.Outcome.UNKNOWN
             try:
                 record = await self._write(
-                    engine, record, order, 'intended', change
+                    engine, record, order, 'intended', entry_name
                 )
                 outcome = await self._send(authority, engine, record, order)
-                ended = audit.Outcome.DONE
-                if outcome not in _TAKEN:
-                    ended = audit.Outcome.REFUSED
+                audit_outcome = audit.Outcome.DONE
+                if outcome not in _ACCEPTED_OUTCOMES:
+                    audit_outcome = audit.Outcome.REFUSED
             finally:
-                # The order is settled by now; a lost outcome of the trail
-                # is settled by the name of its entry in the record.
+                # The order has its outcome by now. If this write is lost, the
+                # record still names the audit entry.
                 with contextlib.suppress(errors.StoreError):
-                    await audit.conclude(self._store, change, ended)
+                    await audit.conclude(
+                        self._store, entry_name, audit_outcome
+                    )
         return outcome
 
     async def last(self, url: str) -> messages.LastOrder:
@@ -150,16 +155,16 @@
     async def _send(
         self,
         authority: lease.Authority,
-        engine: Engine,
+        engine: EngineTarget,
         record: _Record,
         order: orders_client.Order,
     ) -> orders_client.Outcome:
-        # Authority must outlive the order itself, so that it takes effect
-        # or is dropped while nobody else can have authority. This is so too
-        # on an engine that checks fencing: it takes an old epoch's order
-        # until it has seen one of the new epoch.
+        # The authority must outlive the order, so that the order takes
+        # effect or is dropped before another process can get authority. An
+        # engine that checks fencing needs this too: it accepts the old epoch
+        # until it has seen the new one.
         def check() -> float:
-            return authority.check(self._lifetime_s)
+            return authority.check(self._order_lifetime_s)
 
         try:
             outcome = await self._client.send(engine.url, order, check)
@@ -175,37 +180,40 @@
         await self._write(engine, record, order, outcome.value)
         if outcome is orders_client.Outcome.STALE_EPOCH:
             authority.revoke()
-            raise errors.LeaseLostError(f'{engine.name}: a newer epoch')
+            raise errors.LeaseLostError(
+                f'{engine.name}: the engine has seen a newer epoch'
+            )
         return outcome
 
-    async def _resolve(
+    async def _settle(
         self,
         authority: lease.Authority,
-        engine: Engine,
+        engine: EngineTarget,
         record: _Record,
     ) -> _Record:
-        """Settle an order that its holder left without an outcome.
+        """Settle the last order if it has no outcome.
 
-        The order may still be on its way: in the kernel of a holder that
-        was cut off, in a holder paused between its check and its send, or
-        unread in an engine that was itself paused. So the engine must have
-        answered first, and must give the same answer again one order
-        lifetime later; by then it has read the order, or never will.
+        The order may still be in flight: in the kernel of a partitioned
+        holder, in a holder paused before its send, or unread in a paused
+        engine. So the engine must report the same last order twice, one
+        order lifetime apart; by then it has read the order or never will.
         """
         last = record.value
         if last is None or last['state'] != 'intended':
             return record
         authority.check()
         found = await self._client.last(engine.url)
-        while not _is_order(found, last):
-            await trio.sleep(self._lifetime_s)
+        while not _is_same_order(found, last):
+            await trio.sleep(self._order_lifetime_s)
             authority.check()
             again = await self._client.last(engine.url)
             if again == found:
                 break
             found = again
-        applied = _is_order(found, last)
-        LEFT_OVER.labels('applied' if applied else 'not_applied').inc()
+        is_applied = _is_same_order(found, last)
+        UNSETTLED_ORDERS.labels(
+            'applied' if is_applied else 'not_applied'
+        ).inc()
         loguru.logger.info('left-over order of {}: {}', engine.name, found)
         order = orders_client.Order(
             last['epoch'],
@@ -214,23 +222,27 @@
             last['type'],
             last['argument'],
         )
-        state = 'done' if applied else 'abandoned'
+        state = 'done' if is_applied else 'abandoned'
         authority.check()
         return await self._write(engine, record, order, state)
 
-    async def _inspect(self, engine: Engine, record: _Record) -> None:
-        """Tell when an engine that ignores epochs took a foreign order."""
+    async def _check_foreign(
+        self, engine: EngineTarget, record: _Record
+    ) -> None:
+        """Log if an engine that ignores epochs took an unrecorded order."""
         last = record.value
         if engine.checks_fencing or last is None or last['state'] != 'done':
             return
         found = await self._client.last(engine.url)
-        if not _is_order(found, last):
-            FOREIGN.inc()
+        if not _is_same_order(found, last):
+            FOREIGN_ORDERS.inc()
             loguru.logger.error(
-                '{} took a foreign order: {}', engine.name, found
+                '{} took an order that is not in its record: {}',
+                engine.name,
+                found,
             )
 
-    async def _read(self, engine: Engine) -> _Record:
+    async def _read(self, engine: EngineTarget) -> _Record:
         item = await self._store.get(KIND, engine.name, purpose=PURPOSE)
         if item.value is None:
             return _Record(item.version if item.value else 0, None)
@@ -239,11 +251,11 @@
 
     async def _write(
         self,
-        engine: Engine,
+        engine: EngineTarget,
         record: _Record,
         order: orders_client.Order,
         state: str,
-        change: str | None = None,
+        entry_name: str | None = None,
     ) -> _Record:
         value: messages.EngineOrderValue = {
             'epoch': order.epoch,
@@ -253,7 +265,7 @@
             'argument': order.argument,
             'state': state,
             'nonce': settled.new_nonce(),
-            'change': change or record.value['change'],
+            'change': entry_name or record.value['change'],
         }
         version = await settled.put(
             self._store,
@@ -266,7 +278,7 @@
         return _Record(version, value)
 
 
-def _is_order(
+def _is_same_order(
     found: messages.LastOrder, last: messages.EngineOrderValue
 ) -> bool:
     return (found['epoch'], found['order_number']) == (
@@ -275,14 +287,14 @@
     )
 
 
-def make_orders(
+def make_engine_orders(
     store: stores.Store,
     client: OrderClient,
     clock: clocks.Clock,
-    lifetime_s: float,
-) -> Orders:
-    """Return the orders of a process.
+    order_lifetime_s: float,
+) -> EngineOrders:
+    """Return the sender of engine orders of a process.
 
-    lifetime_s bounds how long an order can be on its way once it is sent.
+    order_lifetime_s bounds how long a sent order can stay in flight.
     """
-    return Orders(store, client, clock, lifetime_s)
+    return EngineOrders(store, client, clock, order_lifetime_s)
--- a/gentianstair/control/main.py
+++ b/gentianstair/control/main.py
@@ -12,13 +12,13 @@
 from gentianstair import daemon
 from gentianstair import errors
 from gentianstair.config import view as views
+from gentianstair.control import config_watch
 from gentianstair.control import duties
-from gentianstair.control import follow
+from gentianstair.control import engine_orders
 from gentianstair.control import lease
-from gentianstair.control import orders as engine_orders
 from gentianstair.control import planning
 from gentianstair.control import upstream_orders
-from gentianstair.control import usage
+from gentianstair.control import usage_sealer
 from gentianstair.generated import settings as generated
 from gentianstair.store import budget
 from gentianstair.store import http_store
@@ -30,13 +30,15 @@
 from gentianstair.util import clock
 from gentianstair.util import serving
 
-GRACE_S = 1.0
-# Kind of the objects by which control processes see each other.
-CANDIDATE = 'candidate'
+# Time that open HTTP requests have at a stop; also the interval at which the
+# candidates are updated.
+SHUTDOWN_GRACE_S = 1.0
+# Kind of the heartbeat objects by which control processes find each other.
+CANDIDATE_KIND = 'candidate'
 
 
 def make_context(config: generated.ControlSettings) -> duties.Context:
-    """Return what duties work with, nothing of it running yet."""
+    """Return the context of the duties without starting anything."""
     store = budget.make_budget(
         http_store.connect(config.platform_url, config.store_timeout_s),
         config,
@@ -49,7 +51,7 @@
         clock=clock.boottime_s,
         store=store,
         view=views.View(),
-        orders=engine_orders.make_orders(
+        orders=engine_orders.make_engine_orders(
             store,
             orders_client.connect(lifetime_s, lifetime_s),
             clock.boottime_s,
@@ -62,12 +64,12 @@
             ),
             lifetime_s,
         ),
-        sealer=usage.make_sealer(
+        sealer=usage_sealer.make_sealer(
             store,
             reports.connect(config.platform_url, lifetime_s, timeout_s),
             time.time,
             clock.boottime_s,
-            usage.Terms(
+            usage_sealer.SealTiming(
                 config.usage_window_s, config.usage_grace_s, lifetime_s
             ),
         ),
@@ -76,7 +78,7 @@
 
 
 def create_app(
-    config: generated.ControlSettings, leases: lease.LeaseManager
+    config: generated.ControlSettings, lease_manager: lease.LeaseManager
 ) -> quart_trio.QuartTrio:
     """Return the application with health and metrics."""
     app = quart_trio.QuartTrio('gentianstair.control')
@@ -87,10 +89,11 @@
 
     @app.get('/readyz')
     async def readyz():
-        age_s = leases.listing_age_s()
+        age_s = lease_manager.listing_age_s()
         ready = age_s < config.lease_duration_s
         held = {
-            scope: authority.epoch for scope, authority in leases.held.items()
+            scope: authority.epoch
+            for scope, authority in lease_manager.held.items()
         }
         body = {'ready': ready, 'looked_ago_s': age_s, 'held': held}
         return body, 200 if ready else 503
@@ -105,61 +108,75 @@
     return app
 
 
-async def _count_candidates(
-    seen: presence.Presence, leases: lease.LeaseManager, every_s: float
+async def _update_candidates(
+    candidates: presence.Presence,
+    lease_manager: lease.LeaseManager,
+    interval_s: float,
 ) -> None:
-    """Tell the leases who else there is."""
+    """Keep the lease manager's candidates current."""
     while True:
-        leases.candidates = tuple(sorted(seen.found))
-        await trio.sleep(every_s)
+        lease_manager.candidates = tuple(sorted(candidates.found))
+        await trio.sleep(interval_s)
 
 
 async def run(config: generated.ControlSettings) -> None:
-    """Serve until stopped, then release what is held.
+    """Serve until stopped, then release the leases.
 
-    At a stop the duties are cancelled between two effects, the leases are
-    marked vacant and the next process takes over at once. An order without
-    an answer by then stays as an intent that the next holder settles.
+    At a stop the duties are cancelled and the leases marked vacant, so that
+    another process takes over at once. An order without a response by then
+    stays recorded as intended, and the next holder settles it.
     """
-    check_terms(config)
+    check_order_lifetime(config)
     if config.plan_roles:
         planning.add_duties()
     sock = serving.listen(config.listen)
     context = make_context(config)
-    # New at each start: a restarted process is not its predecessor.
+    # Unique to this start, so that a restarted process does not mistake its
+    # predecessor's leases for its own.
     holder = f'{config.vm_name}.{settled.new_nonce()}'
-    leases = lease.make_lease_manager(
+    lease_manager = lease.make_lease_manager(
         context.store,
         holder,
         context.clock,
         lease.LeaseTiming(config.lease_duration_s, config.lease_margin_s),
     )
     host, port = sock.getsockname()[:2]
-    seen = presence.make_presence(
+    candidates = presence.make_presence(
         context.store,
-        CANDIDATE,
+        CANDIDATE_KIND,
         holder,
         f'{host}:{port}',
         context.clock,
         config.lease_duration_s,
     )
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(follow.run, context.store, context.view)
-        nursery.start_soon(seen.run)
-        nursery.start_soon(_count_candidates, seen, leases, GRACE_S)
-        nursery.start_soon(leases.run, lambda: duties.scopes(context))
+        nursery.start_soon(config_watch.run, context.store, context.view)
+        nursery.start_soon(candidates.run)
+        nursery.start_soon(
+            _update_candidates, candidates, lease_manager, SHUTDOWN_GRACE_S
+        )
+        nursery.start_soon(
+            lease_manager.run, lambda: duties.make_holder_tasks(context)
+        )
         print(f'listening {host}:{port}', flush=True)
         await serving.serve(
-            create_app(config, leases), sock, serving.wait_for_stop, GRACE_S
+            create_app(config, lease_manager),
+            sock,
+            serving.wait_for_stop,
+            SHUTDOWN_GRACE_S,
+        )
+        loguru.logger.info(
+            'stopping: releasing {} leases', len(lease_manager.held)
         )
-        loguru.logger.info('stopping: releasing {} leases', len(leases.held))
         nursery.cancel_scope.cancel()
 
 
-def check_terms(config: generated.ControlSettings) -> None:
-    """Raise SettingsError when no order could ever be sent in time."""
-    renewed_s = config.lease_duration_s * (1 - 1 / lease.RENEWALS_PER_DURATION)
-    if renewed_s - config.lease_margin_s <= config.order_lifetime_s:
+def check_order_lifetime(config: generated.ControlSettings) -> None:
+    """Raise SettingsError if a lease may be too short to send an order."""
+    remaining_s = config.lease_duration_s * (
+        1 - 1 / lease.RENEWALS_PER_DURATION
+    )
+    if remaining_s - config.lease_margin_s <= config.order_lifetime_s:
         raise errors.SettingsError(
             '--order-lifetime-s: must be below two thirds of'
             ' --lease-duration-s less --lease-margin-s'
@@ -167,7 +184,7 @@
 
 
 def main() -> None:
-    """Read settings and run; a bad setting is told in one line."""
+    """Read the settings and run."""
     daemon.start(
         'control',
         generated.CONTROL,
--- a/gentianstair/control/planning.py
+++ b/gentianstair/control/planning.py
@@ -1,4 +1,4 @@
-"""Give the role planner what it needs, and order what it decides."""
+"""Collect demand and engine state for the role planner, order its changes."""
 
 import typing
 
@@ -9,78 +9,82 @@
 
 from gentianstair.control import duties
 from gentianstair.control import lease
-from gentianstair.control import roles
+from gentianstair.control import role_planner
 from gentianstair.entry import usage
 from gentianstair.generated import messages
 from gentianstair.util import usage_rows
 
 PURPOSE = 'status'
-LOOK_S = 2.0
+PLAN_INTERVAL_S = 2.0
 ACTIVE = 'active'
-# How an engine shows that does not answer; it counts as changing.
-GONE = 'gone'
-# Beyond so many requests in one look each stands for several.
-MAX_OBSERVED = 500
+# State of an engine that did not respond; the planner counts any state other
+# than serving as changing.
+UNREACHABLE = 'gone'
+# Bounds the requests passed to a planner per run; if more were served, each
+# one passed stands for several.
+MAX_SAMPLES = 500
 
 
 class Served(typing.NamedTuple):
-    """What all entries counted between two looks."""
+    """Requests and tokens that all entries counted between two reads."""
 
     requests: int
     prompt_tokens: int
     output_tokens: int
-    seconds: float
+    duration_s: float
 
 
-class DemandReader:
-    """Reads what was served off the entries' usage counts.
+class UsageReader:
+    """Derives the served work from the entries' usage counts.
 
-    They are flushed every few seconds anyway, so this costs one list a
-    look and no messages of its own. It lags by a flush, and shows work
-    when it is served, not when it arrives.
+    The entries flush these counts anyway, so a read costs one list call. It
+    lags by one flush and shows requests when they are served, not when they
+    arrive.
     """
 
     def __init__(self) -> None:
-        self._rows: dict[str, dict[usage_rows.Key, messages.UsageRow]] = {}
-        self._read_at_s: float | None = None
+        self._last_rows: dict[
+            str, dict[usage_rows.Key, messages.UsageRow]
+        ] = {}
+        self._last_read_s: float | None = None
 
     async def read(self, context: duties.Context) -> Served | None:
-        """Return what was served since the last look; None at the first."""
+        """Return the work served since the last read, None at the first."""
         listing = await context.store.list(usage.KIND, purpose=PURPOSE)
         now_s = context.clock()
         counts = [0, 0, 0]
-        seen = {}
+        rows = {}
         for item in listing.objects:
             value = msgspec.convert(item.value, messages.UsageValue)
-            seen[item.name] = usage_rows.by_key(value['rows'])
-            before = self._rows.get(item.name, {})
-            for key, row in seen[item.name].items():
-                more = usage_rows.minus(row, before.get(key))
+            rows[item.name] = usage_rows.by_key(value['rows'])
+            last_rows = self._last_rows.get(item.name, {})
+            for key, row in rows[item.name].items():
+                added = usage_rows.minus(row, last_rows.get(key))
                 for index, name in enumerate(usage_rows.COUNTS):
-                    counts[index] += more[name]
-        last_s = self._read_at_s
-        self._rows, self._read_at_s = seen, now_s
-        if last_s is None:
+                    counts[index] += added[name]
+        last_read_s = self._last_read_s
+        self._last_rows, self._last_read_s = rows, now_s
+        if last_read_s is None:
             return None
-        return Served(*counts, now_s - last_s)
+        return Served(*counts, now_s - last_read_s)
 
 
-class RolePlanning:
-    """Plans the roles of the engines of the scopes this process holds."""
+class RoleDuty:
+    """Plans the roles of the engines in the scopes this process holds."""
 
     def __init__(self) -> None:
-        self._reader = DemandReader()
-        self._planners: dict[tuple, roles.RolePlanner] = {}
+        self._reader = UsageReader()
+        self._planners: dict[tuple, role_planner.RolePlanner] = {}
 
-    async def round(
+    async def run_once(
         self, context: duties.Context, authority: lease.Authority
     ) -> None:
-        """Look at demand and engines, and order at most a few changes."""
+        """Plan once for each group of engines, and order the changes."""
         domain = authority.scope.removeprefix(duties.ENGINES_PREFIX)
-        engines = _active(duties.engines(context, domain))
+        engines = _active(duties.engines_of_domain(context, domain))
         served = await self._reader.read(context)
-        views = await _look(context, engines)
-        total = sum(
+        views = await _poll_engines(context, engines)
+        active_engines = sum(
             context.view.upstream(name)['type'] == 'engine'
             and context.view.upstream(name)['state'] == ACTIVE
             for name in context.view.names('upstream')
@@ -93,15 +97,15 @@
             ]
             planner = self._planner(authority, models)
             if served is not None:
-                share = len(group) / max(1, total)
-                _observe(planner, served, share, context.clock())
+                share = len(group) / max(1, active_engines)
+                _feed_planner(planner, served, share, context.clock())
             for change in planner.plan(group, context.clock()):
                 await self._order(context, authority, engines, change)
 
     def _planner(
         self, authority: lease.Authority, models: tuple[str, ...]
-    ) -> roles.RolePlanner:
-        """Return the planner of a group; a new epoch begins with none."""
+    ) -> role_planner.RolePlanner:
+        """Return the planner of a group; each epoch starts a new one."""
         key = (authority.scope, authority.epoch, models)
         if key not in self._planners:
             self._planners = {
@@ -109,7 +113,7 @@
                 for known, planner in self._planners.items()
                 if known[0] != authority.scope or known[1] == authority.epoch
             }
-            self._planners[key] = roles.make_planner()
+            self._planners[key] = role_planner.make_planner()
         return self._planners[key]
 
     async def _order(
@@ -117,12 +121,12 @@
         context: duties.Context,
         authority: lease.Authority,
         engines: dict[str, messages.UpstreamValue],
-        change: roles.Change,
+        change: role_planner.Change,
     ) -> None:
         loguru.logger.info(
             'role {} for {}: {}', change.role, change.upstream, change.inputs
         )
-        target = duties.target(change.upstream, engines[change.upstream])
+        target = duties.order_target(change.upstream, engines[change.upstream])
         await context.orders.order(authority, target, 'set_role', change.role)
 
 
@@ -136,61 +140,68 @@
     }
 
 
-async def _look(
+async def _poll_engines(
     context: duties.Context, engines: dict[str, messages.UpstreamValue]
-) -> list[roles.EngineView]:
-    """Ask all engines at once, so that a slow one delays no other."""
+) -> list[role_planner.EngineView]:
+    """Poll all engines concurrently, so that a slow one delays no other."""
     views = []
 
-    async def look(name: str, value: messages.UpstreamValue) -> None:
-        views.append(await _view(context, name, value))
+    async def poll(name: str, value: messages.UpstreamValue) -> None:
+        views.append(await _poll_engine(context, name, value))
 
     async with trio.open_nursery() as nursery:
         for name, value in engines.items():
-            nursery.start_soon(look, name, value)
+            nursery.start_soon(poll, name, value)
     return sorted(views)
 
 
-async def _view(
+async def _poll_engine(
     context: duties.Context, name: str, value: messages.UpstreamValue
-) -> roles.EngineView:
+) -> role_planner.EngineView:
     try:
         answer = await context.client.get(
-            f'{value["url"]}/load', timeout=duties.LOAD_TIMEOUT_S
+            f'{value["url"]}/load', timeout=duties.LOAD_REQUEST_TIMEOUT_S
         )
         load = answer.json()
-        return roles.EngineView(
+        return role_planner.EngineView(
             name, str(load['role']), str(load['state']), int(load['running'])
         )
     except (httpx.HTTPError, ValueError, KeyError, TypeError):
-        return roles.EngineView(name, value['role'], GONE, 0)
+        return role_planner.EngineView(name, value['role'], UNREACHABLE, 0)
 
 
-def _observe(
-    planner: roles.RolePlanner, served: Served, share: float, now_s: float
+def _feed_planner(
+    planner: role_planner.RolePlanner,
+    served: Served,
+    share: float,
+    now_s: float,
 ) -> None:
-    """Tell the planner of mean requests, evenly over the time seen."""
+    """Pass requests of mean size to the planner, evenly spread over time."""
     if not served.requests or not share:
         return
-    prompt = served.prompt_tokens / served.requests
-    output = served.output_tokens / served.requests
-    # Fewer requests of the same rates, when each would stand for one.
+    prompt_tokens = served.prompt_tokens / served.requests
+    output_tokens = served.output_tokens / served.requests
+    # The group's share of all requests; above MAX_SAMPLES each sample weighs
+    # more than one request.
     requests = served.requests * share
-    count = max(1, min(MAX_OBSERVED, round(requests)))
-    weight = requests / count
-    for index in range(count):
-        at_s = now_s - served.seconds * (1 - (index + 1) / count)
+    samples = max(1, min(MAX_SAMPLES, round(requests)))
+    weight = requests / samples
+    for index in range(samples):
+        arrival_s = now_s - served.duration_s * (1 - (index + 1) / samples)
         planner.observe(
-            at_s, prompt * weight, output * weight, prompt * weight
+            arrival_s,
+            prompt_tokens * weight,
+            output_tokens * weight,
+            prompt_tokens * weight,
         )
 
 
 def add_duties() -> None:
-    """Have the holders of engines plan their roles."""
-    planning = RolePlanning()
+    """Add role planning to the duties of the engine scopes."""
+    duty = RoleDuty()
     duties.DUTIES[duties.ENGINES_PREFIX].append(
-        duties.Duty(planning.round, LOOK_S)
+        duties.Duty(duty.run_once, PLAN_INTERVAL_S)
     )
 
 
-__all__ = ('DemandReader', 'RolePlanning', 'Served', 'add_duties')
+__all__ = ('UsageReader', 'RoleDuty', 'Served', 'add_duties')
--- a/gentianstair/control/upstream_orders.py
+++ b/gentianstair/control/upstream_orders.py
@@ -1,4 +1,4 @@
-"""Order upstreams from the platform, by failure domain, exactly once."""
+"""Order the platform to start and stop upstreams, exactly once."""
 
 import contextlib
 import typing
@@ -24,7 +24,7 @@
 
 
 class UpstreamOrder(typing.NamedTuple):
-    """What to order: ``start`` a count of a class, or ``stop`` upstreams."""
+    """An order to ``start`` a count of a class or to ``stop`` upstreams."""
 
     type: str
     failure_domain: str
@@ -34,33 +34,36 @@
 
 
 class UpstreamOrders:
-    """The platform orders of one process, one outstanding a scope.
+    """Sends the platform orders of one process, one in flight per scope.
 
-    The record of a scope is written before its order is sent and names the
-    order by a token. Whoever finds a record without outcome sends the same
-    order with the same token again; the platform takes a token once. So a
-    lost answer and a successor both end in exactly one order, and a holder
-    that wakes late repeats a token that is known.
+    A scope's record is written before its order is sent and holds the
+    order's idempotency token. A holder that finds a record without an
+    outcome sends the same order with the same token again; the platform
+    accepts each token once. So retries after a lost response, by a successor
+    or by a paused holder have no further effect.
     """
 
     def __init__(
-        self, store: stores.Store, sender: orders.Sender, lifetime_s: float
+        self,
+        store: stores.Store,
+        sender: orders.Sender,
+        order_lifetime_s: float,
     ) -> None:
         self._store = store
         self._sender = sender
-        self._lifetime_s = lifetime_s
+        self._order_lifetime_s = order_lifetime_s
         self._lock = trio.Lock()
 
     async def order(
         self, authority: lease.Authority, order: UpstreamOrder
     ) -> str:
-        """Give one order and return its token.
+        """Send one order and return its token.
 
         Raise LeaseLostError, StoreError (nothing was sent) or
-        UpstreamError; after the last, resume sends the order again.
+        UpstreamError; after UpstreamError, resume sends the order again.
         """
         async with self._lock:
-            version, last = await self._finish_last(authority)
+            version, last = await self._settle_last(authority)
             number = 1 if last is None else last['order_number'] + 1
             value: messages.UpstreamOrderValue = {
                 'epoch': authority.epoch,
@@ -94,11 +97,11 @@
             return value['token']
 
     async def resume(self, authority: lease.Authority) -> None:
-        """Send an order that is still without outcome, if there is one."""
+        """Send the last order again if it has no outcome."""
         async with self._lock:
-            await self._finish_last(authority)
+            await self._settle_last(authority)
 
-    async def _finish_last(
+    async def _settle_last(
         self, authority: lease.Authority
     ) -> tuple[int, messages.UpstreamOrderValue | None]:
         item = await self._store.get(KIND, authority.scope, purpose=PURPOSE)
@@ -117,9 +120,9 @@
         version: int,
     ) -> int:
         def check() -> float:
-            return authority.check(self._lifetime_s)
+            return authority.check(self._order_lifetime_s)
 
-        body = {key: value[key] for key in _SENT}
+        body = {key: value[key] for key in _SENT_FIELDS}
         try:
             await self._sender.send(body, check)
         except (errors.UpstreamError, errors.LeaseLostError):
@@ -149,9 +152,9 @@
         )
 
 
-# The holder and the epoch go along for the platform's own records; a repeat
-# by a successor carries those of the first.
-_SENT = (
+# The holder and the epoch are for the platform's records; a retry by a
+# successor sends those of the first attempt.
+_SENT_FIELDS = (
     'token',
     'type',
     'failure_domain',
@@ -164,7 +167,7 @@
 
 
 def make_upstream_orders(
-    store: stores.Store, sender: orders.Sender, lifetime_s: float
+    store: stores.Store, sender: orders.Sender, order_lifetime_s: float
 ) -> UpstreamOrders:
-    """Return the platform orders of a process."""
-    return UpstreamOrders(store, sender, lifetime_s)
+    """Return the sender of platform orders of a process."""
+    return UpstreamOrders(store, sender, order_lifetime_s)
--- a/gentianstair/control/usage.py
+++ b/gentianstair/control/usage_sealer.py
@@ -17,16 +17,16 @@
 from gentianstair.util import usage_rows
 
 PURPOSE = 'usage'
-# An object of an entry that is gone is deleted after it has been seen
-# unchanged for so long, and all in it is sealed.
-RETIRE_S = 3600.0
-# Reported seals are kept for so many windows, for operators to look at.
-KEEP_SEALS = 1500
+# An entry's counts are deleted after they stayed unchanged for this time, if
+# all of them are sealed.
+DELETE_UNCHANGED_AFTER_S = 3600.0
+# Reported seals kept for operators to inspect; older ones are deleted.
+MAX_KEPT_SEALS = 1500
 
-SEALED = prometheus_client.Counter(
+WINDOWS_SEALED = prometheus_client.Counter(
     'gentianstair_usage_windows_sealed', 'Windows whose figures are final'
 )
-REPORTED = prometheus_client.Counter(
+WINDOWS_REPORTED = prometheus_client.Counter(
     'gentianstair_usage_windows_reported', 'Windows the platform took'
 )
 LATE_ROWS = prometheus_client.Counter(
@@ -34,50 +34,53 @@
 )
 
 
-class Terms(typing.NamedTuple):
-    """How long windows are, and how soon after their end they are sealed."""
+class SealTiming(typing.NamedTuple):
+    """Length of a window, delay from its end to its seal, report timeout."""
 
     window_s: float
-    grace_s: float
-    lifetime_s: float
+    seal_delay_s: float
+    report_lifetime_s: float
 
 
 class Sealer:
-    """Seals and reports windows; right however many of them run.
+    """Seals and reports usage windows.
 
-    A window's figures are those of the object that was created first, and
-    a report is made from that object only. So two that both believe they
-    are in charge report the same figures; the lease keeps it to one.
+    Sealing a window creates its seal object, which only the first sealer
+    can do, and reports are made from that object only. So two sealers that
+    both believe to hold the lease report the same figures.
     """
 
     def __init__(
         self,
         store: stores.Store,
         sender: reports.Sender,
-        wall: usage.Wall,
+        wall_clock: usage.Wall,
         clock: clocks.Clock,
-        terms: Terms,
+        timing: SealTiming,
     ) -> None:
         self._store = store
         self._sender = sender
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._clock = clock
-        self._terms = terms
-        self._seen_since: dict[str, tuple[int, float]] = {}
+        self._timing = timing
+        self._unchanged_since: dict[str, tuple[int, float]] = {}
 
     async def run_once(self, authority: lease.Authority) -> None:
-        """Seal and report what is due; raise StoreError and the like."""
+        """Seal and report the windows that are due.
+
+        Raise StoreError, UpstreamError or LeaseLostError.
+        """
         authority.check()
-        version, progress = await self._progress()
+        version, progress = await self._load_progress()
         if progress is None:
             return
         sealed = await self._seal_due(authority, progress)
         await self._report_due(authority, version, progress, sealed)
 
-    async def _progress(
+    async def _load_progress(
         self,
     ) -> tuple[int, messages.UsageProgressValue | None]:
-        """Return the progress; fix the first window if there is none."""
+        """Return the progress; create it at the first counted window."""
         kind, name = usage.PROGRESS_KIND, usage.PROGRESS_NAME
         item = await self._store.get(kind, name, purpose=PURPOSE)
         if item.value is not None:
@@ -117,23 +120,25 @@
         authority: lease.Authority,
         progress: messages.UsageProgressValue,
     ) -> int:
-        """Seal all windows that are over; return the last one sealed."""
-        ended_s = self._wall() - self._terms.grace_s
-        due = int(ended_s // self._terms.window_s) - 1
+        """Seal all windows that are due; return the last sealed window."""
+        sealable_until_s = self._wall_clock() - self._timing.seal_delay_s
+        last_due = int(sealable_until_s // self._timing.window_s) - 1
         sealed = progress['sealed']
-        base = await self._seal(sealed)
-        if base is None and sealed >= progress['first']:
-            # Without the seal before, all of its figures would be late.
-            raise errors.StoreUnavailableError('a seal is not visible')
-        while sealed < due:
+        previous = await self._get_seal(sealed)
+        if previous is None and sealed >= progress['first']:
+            # Without the previous seal all earlier counts would be late.
+            raise errors.StoreUnavailableError(
+                f'the seal of window {sealed} is not in the store'
+            )
+        while sealed < last_due:
             authority.check()
-            seal = await self._seal(sealed + 1)
+            seal = await self._get_seal(sealed + 1)
             if seal is None:
-                seal = await self._create_seal(sealed + 1, base)
-            sealed, base = sealed + 1, seal
+                seal = await self._create_seal(sealed + 1, previous)
+            sealed, previous = sealed + 1, seal
         return sealed
 
-    async def _seal(self, window: int) -> messages.SealValue | None:
+    async def _get_seal(self, window: int) -> messages.SealValue | None:
         item = await self._store.get(
             usage.SEAL_KIND, str(window), purpose=PURPOSE
         )
@@ -142,13 +147,15 @@
         return msgspec.convert(item.value, messages.SealValue)
 
     async def _create_seal(
-        self, window: int, base: messages.SealValue | None
+        self, window: int, previous: messages.SealValue | None
     ) -> messages.SealValue:
-        """Create the seal from the counts, or return another's."""
+        """Create the seal from the counts, or return the existing one."""
         listing = await self._store.list(usage.KIND, purpose=PURPOSE)
-        if base is not None and listing.revision < base['revision']:
-            raise errors.StoreUnavailableError('an answer from the past')
-        seal = make_seal(window, base, listing)
+        if previous is not None and listing.revision < previous['revision']:
+            raise errors.StoreUnavailableError(
+                'the listing of counts is older than the previous seal'
+            )
+        seal = make_seal(window, previous, listing)
         try:
             await settled.put(
                 self._store,
@@ -159,15 +166,15 @@
                 purpose=PURPOSE,
             )
         except errors.StoreConflictError:
-            # Another's figures stand; ours are thrown away. What only ours
-            # had is late in the next window.
-            other = await self._seal(window)
+            # The seal that exists is final. Counts that are only in this one
+            # become late in the next window.
+            other = await self._get_seal(window)
             if other is None:
                 raise
             return other
-        SEALED.inc()
+        WINDOWS_SEALED.inc()
         LATE_ROWS.inc(len(seal['late']))
-        await self._retire(listing, seal)
+        await self._delete_stale_counts(listing, seal)
         return seal
 
     async def _report_due(
@@ -177,15 +184,17 @@
         progress: messages.UsageProgressValue,
         sealed: int,
     ) -> None:
-        """Report sealed windows in order, keeping the progress."""
+        """Report sealed windows in order and store the progress."""
         reported = progress['reported']
         while reported < sealed:
-            seal = await self._seal(reported + 1)
+            seal = await self._get_seal(reported + 1)
             if seal is None:
-                raise errors.StoreUnavailableError('a seal is not visible')
+                raise errors.StoreUnavailableError(
+                    f'the seal of window {reported + 1} is not in the store'
+                )
             await self._report(authority, seal)
             reported += 1
-            await self._delete_seal(reported - KEEP_SEALS)
+            await self._delete_seal(reported - MAX_KEPT_SEALS)
             progress = {
                 'first': progress['first'],
                 'sealed': max(progress['sealed'], reported),
@@ -195,7 +204,7 @@
             version = await self._write_progress(progress, version)
 
     async def _delete_seal(self, window: int) -> None:
-        """Delete a seal that is long reported; the next one replaced it."""
+        """Delete a reported seal, if it exists."""
         kind, name = usage.SEAL_KIND, str(window)
         item = await self._store.get(kind, name, purpose=PURPOSE)
         if item.value is None:
@@ -208,8 +217,8 @@
     ) -> None:
         body = {
             'window': seal['window'],
-            'start_s': seal['window'] * self._terms.window_s,
-            'window_s': self._terms.window_s,
+            'start_s': seal['window'] * self._timing.window_s,
+            'window_s': self._timing.window_s,
             'token': f'usage-{seal["window"]}',
             'rows': seal['rows'],
             'late': seal['late'],
@@ -218,23 +227,26 @@
         }
 
         def check() -> float:
-            return authority.check(self._terms.lifetime_s)
+            return authority.check(self._timing.report_lifetime_s)
 
         await self._sender.send(body, check)
-        REPORTED.inc()
+        WINDOWS_REPORTED.inc()
 
-    async def _retire(
+    async def _delete_stale_counts(
         self, listing: stores.Listing, seal: messages.SealValue
     ) -> None:
-        """Delete counts of entries long gone that are all sealed."""
+        """Delete sealed counts that entries no longer update."""
         now_s = self._clock()
         for item in listing.objects:
-            since = self._seen_since.get(item.name)
+            since = self._unchanged_since.get(item.name)
             if since is None or since[0] != item.version:
-                self._seen_since[item.name] = (item.version, now_s)
+                self._unchanged_since[item.name] = (item.version, now_s)
                 continue
             accounted = seal['accounted'].get(item.name, [])
-            if now_s - since[1] < RETIRE_S or item.value['rows'] != accounted:
+            if (
+                now_s - since[1] < DELETE_UNCHANGED_AFTER_S
+                or item.value['rows'] != accounted
+            ):
                 continue
             try:
                 await self._store.delete(
@@ -242,30 +254,30 @@
                 )
             except errors.StoreError:
                 continue
-            del self._seen_since[item.name]
+            del self._unchanged_since[item.name]
 
 
 def make_seal(
-    window: int, base: messages.SealValue | None, listing: stores.Listing
+    window: int, previous: messages.SealValue | None, listing: stores.Listing
 ) -> messages.SealValue:
-    """Return the figures of a window given the seal of the one before.
+    """Return the seal of a window, given the seal of the previous one.
 
-    Rows of earlier windows that grew since they were accounted are late.
+    Counts added to earlier windows since the previous seal are late.
     """
-    before = base['accounted'] if base is not None else {}
+    accounted_before = previous['accounted'] if previous is not None else {}
     rows: list[messages.UsageRow] = []
     late: list[messages.UsageRow] = []
     accounted: dict[str, list[messages.UsageRow]] = {}
     for item in listing.objects:
         value = msgspec.convert(item.value, messages.UsageValue)
-        known = usage_rows.by_key(before.get(item.name, []))
-        mine = [row for row in value['rows'] if row['window'] <= window]
-        for row in mine:
-            more = usage_rows.minus(row, known.get(usage_rows.key_of(row)))
-            if usage_rows.is_empty(more):
+        known = usage_rows.by_key(accounted_before.get(item.name, []))
+        counted = [row for row in value['rows'] if row['window'] <= window]
+        for row in counted:
+            added = usage_rows.minus(row, known.get(usage_rows.key_of(row)))
+            if usage_rows.is_empty(added):
                 continue
-            (rows if row['window'] == window else late).append(more)
-        accounted[item.name] = mine
+            (rows if row['window'] == window else late).append(added)
+        accounted[item.name] = counted
     return {
         'window': window,
         'revision': listing.revision,
@@ -283,9 +295,9 @@
 def make_sealer(
     store: stores.Store,
     sender: reports.Sender,
-    wall: usage.Wall,
+    wall_clock: usage.Wall,
     clock: clocks.Clock,
-    terms: Terms,
+    timing: SealTiming,
 ) -> Sealer:
     """Return a sealer; wall returns seconds since 1970."""
-    return Sealer(store, sender, wall, clock, terms)
+    return Sealer(store, sender, wall_clock, clock, timing)
--- a/test/control/test_authority.py
+++ b/test/control/test_authority.py
@@ -4,8 +4,8 @@
 import trio
 
 from gentianstair import errors
+from gentianstair.control import engine_orders
 from gentianstair.control import lease
-from gentianstair.control import orders
 from gentianstair.control import upstream_orders
 from standins import chaos
 from standins import checkers
@@ -29,7 +29,7 @@
         self.client = chaos.ChaosOrders(
             self.process, engines, LIFETIME_S, TIMEOUT_S
         )
-        self.orders = orders.make_orders(
+        self.orders = engine_orders.make_engine_orders(
             self.store,
             self.client,
             self.process.clock,
@@ -67,7 +67,9 @@
     async def order_one(self, authority):
         names = [n for n in self.engines if n.startswith(authority.scope)]
         engine = self.engines[self.world.random.choice(names)]
-        target = orders.Engine(engine.name, engine.name, engine.checks)
+        target = engine_orders.EngineTarget(
+            engine.name, engine.name, engine.checks
+        )
         argument = str(self.world.random.random())
         try:
             await self.orders.order(authority, target, 'set_role', argument)
--- a/test/control/test_planning.py
+++ b/test/control/test_planning.py
@@ -62,7 +62,7 @@
         store, 'vm', trio.current_time, usage.Terms(60.0, 1.0, 10**9)
     )
     authority = lease.Authority('engines-north', 'me', 1, context.clock)
-    duty = planning.RolePlanning()
+    duty = planning.RoleDuty()
     for _ in range(40):
         counts.count(
             'c',
@@ -72,7 +72,7 @@
             output_tokens=2000,
         )
         await counts.flush()
-        await duty.round(context, authority)
-        await trio.sleep(planning.LOOK_S)
+        await duty.run_once(context, authority)
+        await trio.sleep(planning.PLAN_INTERVAL_S)
     assert orders.given
     assert orders.given[0][1:] == ('set_role', 'prefill')
--- a/test/control/test_roles.py
+++ b/test/control/test_role_planner.py
@@ -5,21 +5,21 @@
 from gentianstair.bench import shift
 from gentianstair.bench import shifts
 from gentianstair.control import demand
-from gentianstair.control import roles
-from gentianstair.control import strain
+from gentianstair.control import role_planner
+from gentianstair.control import utilization
 
 
 def make_views(prefill, mixed, changing=0):
     found = [
-        roles.EngineView(f'p{i}', 'prefill', 'serving', 1)
+        role_planner.EngineView(f'p{i}', 'prefill', 'serving', 1)
         for i in range(prefill)
     ]
     found += [
-        roles.EngineView(f'm{i}', 'mixed', 'serving', 10 + i)
+        role_planner.EngineView(f'm{i}', 'mixed', 'serving', 10 + i)
         for i in range(mixed)
     ]
     found += [
-        roles.EngineView(f'c{i}', 'mixed', 'draining', 3)
+        role_planner.EngineView(f'c{i}', 'mixed', 'draining', 3)
         for i in range(changing)
     ]
     return found
@@ -59,7 +59,7 @@
     ],
 )
 def test_role_follows_the_mix(work, views, role, name):
-    planner = roles.make_planner()
+    planner = role_planner.make_planner()
     at_s, changes = first_change(planner, views, 0, 60, **work)
     found = [(change.role, change.upstream) for change in changes]
     assert found == ([(role, name)] if role else [])
@@ -68,7 +68,7 @@
 def test_change_never_takes_what_carries_current_work():
     # Drafts fill three mixed engines of five; a burst of reading would have
     # one more leave, and every running draft would be late.
-    planner = roles.make_planner()
+    planner = role_planner.make_planner()
     feed(planner, 0, 30, 14, 900, 700)
     feed(planner, 20, 30, 5, 3600, 100)
     views = make_views(2, 3)
@@ -80,7 +80,7 @@
 
 
 def test_mix_that_swings_each_second_changes_few_roles():
-    planner = roles.make_planner()
+    planner = role_planner.make_planner()
     views = make_views(2, 3)
     changes = []
     for tick in range(120):
@@ -91,7 +91,7 @@
 
 
 def test_average_tells_the_rate_from_its_start():
-    average = demand.Average(10.0)
+    average = demand.DemandAverage(10.0)
     for tick in range(40):
         average.add(tick * 0.5, 100, 50, 80)
         if tick in (4, 39):
@@ -111,8 +111,10 @@
         rate * (part * 160 + (1 - part) * 320),
         context,
     )
-    plan, found = strain.best(strain.DEFAULT, steady, replicas)
-    assert found.worst < 1.0
+    plan, found = utilization.find_best_counts(
+        utilization.DEFAULT_COSTS, steady, replicas
+    )
+    assert found.highest < 1.0
     assert plan.mixed >= replicas * 0.3
 
 
--- a/test/control/test_usage.py
+++ b/test/control/test_usage_sealer.py
@@ -8,7 +8,7 @@
 from gentianstair import errors
 from gentianstair import verdict
 from gentianstair.control import lease
-from gentianstair.control import usage as control_usage
+from gentianstair.control import usage_sealer as control_usage
 from gentianstair.entry import usage as entry_usage
 from gentianstair.store import store as stores
 from standins import chaos
@@ -17,7 +17,7 @@
 
 WINDOW_S = 10.0
 ENTRY_TERMS = entry_usage.Terms(WINDOW_S, 1.0, 500)
-CONTROL_TERMS = control_usage.Terms(WINDOW_S, 0.0, 0.5)
+CONTROL_TERMS = control_usage.SealTiming(WINDOW_S, 0.0, 0.5)
 RUN_S = 200.0
 SETTLE_S = 150.0
 CHANCES = chaos.Chances(pause=0.003, pause_s=25.0)
