--- a/gentianstair/core/__init__.py
+++ b/gentianstair/core/__init__.py
@@ -1,1 +1,1 @@
-"""What serving a request takes, whichever interface it came by."""
+"""Request handling shared by the entry process and the gateway."""
--- a/gentianstair/core/exchange.py
+++ b/gentianstair/core/exchange.py
@@ -1,7 +1,7 @@
-"""Hold one caller's request and answer, on the server's ASGI interface.
+"""Hold one HTTP request and its response, on the server's ASGI interface.
 
-Relayed answers bypass Quart's response objects, which cost more than the
-relay itself for each chunk; see docs/design/relay.md.
+Relayed responses bypass Quart's response objects, whose cost per chunk
+exceeds that of the relay; see docs/design/relay.md.
 """
 
 import collections.abc
@@ -22,25 +22,26 @@
 HTTP_CONTENT_TOO_LARGE = 413
 HTTP_TIMEOUT = 408
 MAX_ID_LENGTH = 128
-# Status, in logs and metrics alone, of requests that have no whole answer:
-# their callers left, or this process closed their connections.
+# Status, only in logs and metrics, of requests without a complete response:
+# the caller disconnected, or this process closed the connection.
 HTTP_CALLER_DISCONNECTED = 499
 HTTP_CLOSED_BY_SERVER = 444
 
 
 class CallerDisconnectedError(errors.GentianstairError):
-    """Report that an answer can't reach its caller any more.
+    """The response can no longer reach its caller.
 
-    The caller hung up or stopped reading, or this process closed the
-    connection; ``Exchange.connection`` knows which.
+    The caller disconnected or stopped reading, or this process closed the
+    connection; ``Exchange.connection`` tells which.
     """
 
 
 class Exchange:
-    """One request of a caller and the answer to it.
+    """One HTTP request and its response.
 
-    ``started`` tells whether the answer's status has been sent, after which
-    a failure can only be told inside the body.
+    ``started`` is true once the response's status was sent; a later failure
+    can only be reported in the body. ``ended`` is true from the sending of
+    its last part on.
     """
 
     def __init__(
@@ -57,7 +58,8 @@
         self.connection = connections.of_scope(scope)
         self.started = False
         self.ended = False
-        # Asked when the answer starts: whether its connection is to close.
+        # Called when the response starts; returns whether to close the
+        # connection after it.
         self.should_close: collections.abc.Callable[[], bool] | None = None
         self._body_read = False
         self._is_http1 = scope.get('http_version', '1.1').startswith('1')
@@ -65,12 +67,14 @@
         self._send = send
 
     def check_header_size(self) -> None:
-        """Raise RequestError when the headers are too long together.
+        """Raise RequestError if the headers together are too long.
 
-        The server's own limit holds for headers that come in parts only.
+        The server's own limit only applies to headers received in parts.
         """
-        size = sum(len(key) + len(value) for key, value in self.raw_headers)
-        if size > MAX_HEADERS_BYTES:
+        size_bytes = sum(
+            len(key) + len(value) for key, value in self.raw_headers
+        )
+        if size_bytes > MAX_HEADERS_BYTES:
             raise errors.RequestError(
                 HTTP_HEADERS_TOO_LARGE,
                 'headers-too-long',
@@ -80,19 +84,21 @@
     def header(self, name: str) -> str | None:
         """Return a header's value, or None.
 
-        Raise RequestError when it is there twice: two readers could
-        otherwise take different ones.
+        Raise RequestError if it is given more than once, as two readers
+        could use different values.
         """
-        wanted = name.encode()
-        found = [value for key, value in self.raw_headers if key == wanted]
-        if len(found) > 1:
+        wanted_name = name.encode()
+        values = [
+            value for key, value in self.raw_headers if key == wanted_name
+        ]
+        if len(values) > 1:
             raise errors.RequestError(
                 400, 'duplicate-header', f'{name} is given more than once'
             )
-        return found[0].decode('latin-1') if found else None
+        return values[0].decode('latin-1') if values else None
 
     def request_timeout_s(self, limit_s: float) -> float:
-        """Return how long the caller waits for its whole answer."""
+        """Return how long the caller waits for the complete response."""
         text = self.header(TIMEOUT_HEADER)
         if text is None:
             return limit_s
@@ -115,8 +121,8 @@
     async def read_body(self, limit_bytes: int, timeout_s: float) -> bytes:
         """Return the whole body.
 
-        Raise RequestError as soon as it is known to be too long, and when
-        the caller takes longer than timeout_s to send it.
+        Raise RequestError as soon as it is known to be too long, or if the
+        caller takes longer than timeout_s to send it.
         """
         too_long = errors.RequestError(
             HTTP_CONTENT_TOO_LARGE,
@@ -126,16 +132,18 @@
         if self._declared_bytes() > limit_bytes:
             raise too_long
         parts: list[bytes] = []
-        size = 0
+        size_bytes = 0
         with trio.move_on_after(timeout_s) as scope:
             more = True
             while more:
                 message = await self._receive()
                 if message['type'] == 'http.disconnect':
-                    raise CallerDisconnectedError('hung up while sending')
+                    raise CallerDisconnectedError(
+                        'the caller disconnected while sending its body'
+                    )
                 parts.append(message.get('body', b''))
-                size += len(parts[-1])
-                if size > limit_bytes:
+                size_bytes += len(parts[-1])
+                if size_bytes > limit_bytes:
                     raise too_long
                 more = message.get('more_body', False)
             self._body_read = True
@@ -148,20 +156,20 @@
         return b''.join(parts)
 
     def disconnect_status(self) -> int:
-        """Return the status of a request whose connection has ended."""
+        """Return the logged status of a request whose connection ended."""
         if self.connection.is_closed_here:
             return HTTP_CLOSED_BY_SERVER
         return HTTP_CALLER_DISCONNECTED
 
     async def wait_disconnected(self) -> None:
-        """Return when the connection has ended; drop what is left to read."""
+        """Wait for the connection to end, discarding the rest of the body."""
         while True:
             message = await self._receive()
             if message['type'] == 'http.disconnect':
                 return
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send status and headers."""
+        """Send the status and the headers."""
         self.started = True
         if self.should_close is not None and self.should_close():
             headers = [*headers, (b'connection', b'close')]
@@ -174,7 +182,7 @@
         )
 
     async def write(self, data: bytes) -> None:
-        """Send a part of the body; waits while the caller reads slowly."""
+        """Send a part of the body, waiting while the caller reads slowly."""
         await self._send(
             {'type': 'http.response.body', 'body': data, 'more_body': True}
         )
@@ -182,9 +190,9 @@
     async def end(self, data: bytes = b'') -> None:
         """Send the last part of the body.
 
-        What the server does after it is not cancelled half way, or the
-        connection would neither be read on nor be closed. It waits no
-        longer than the server has a caller take what it sends.
+        On HTTP/1 the last part is shielded from cancellation: the server
+        would otherwise neither read the next request nor close the
+        connection. The server's send timeout bounds the wait.
         """
         if data:
             await self.write(data)
@@ -193,25 +201,29 @@
             await self._send_last()
 
     async def _send_last(self) -> None:
-        last = {'type': 'http.response.body', 'body': b''}
+        last_part = {'type': 'http.response.body', 'body': b''}
         if self._body_read:
-            await self._send(last)
+            await self._send(last_part)
             return
         async with trio.open_nursery() as nursery:
-            # The server tells the end of the request behind the parts of
-            # its body, in a queue that may be full.
+            # The server queues the end of the request behind the parts of
+            # its body, so a full queue must be drained.
             nursery.start_soon(self.wait_disconnected)
-            await self._send(last)
+            await self._send(last_part)
             nursery.cancel_scope.cancel()
 
     async def respond(
-        self, status: int, content_type: str, body: bytes, extra: Headers = ()
+        self,
+        status: int,
+        content_type: str,
+        body: bytes,
+        extra_headers: Headers = (),
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         headers = [
             (b'content-type', content_type.encode()),
             (b'content-length', b'%d' % len(body)),
-            *extra,
+            *extra_headers,
         ]
         await self.start(status, headers)
         await self.end(body)
@@ -219,26 +231,27 @@
     async def send_error(
         self, error: errors.RequestError, request_id: str
     ) -> None:
-        """Send a problem body that carries the verdict."""
-        body, extra = problem_response(error, request_id)
+        """Send an error as a problem response with its verdict."""
+        body, headers = problem_response(error, request_id)
         await self.respond(
-            error.status, 'application/problem+json', body, extra
+            error.status, 'application/problem+json', body, headers
         )
 
 
 def problem_response(
     error: errors.RequestError, request_id: str
 ) -> tuple[bytes, Headers]:
-    """Return body and headers of a refusal (RFC 9457)."""
+    """Return the body and headers of a problem response (RFC 9457)."""
     content = {**error.to_problem(), 'request_id': request_id}
     headers = [
         (b'x-request-id', request_id.encode()),
         (b'x-verdict', error.verdict.name.encode()),
     ]
     if error.retry_after_s is not None:
-        # The header takes whole seconds; rounding up keeps it honest.
-        after = math.ceil(error.retry_after_s)
-        headers.append((b'retry-after', b'%d' % max(after, 1)))
+        # The header takes whole seconds; rounded down, the caller would retry
+        # too early.
+        after_s = math.ceil(error.retry_after_s)
+        headers.append((b'retry-after', b'%d' % max(after_s, 1)))
     if error.status == 401:
         headers.append((b'www-authenticate', b'Bearer'))
     return json.dumps(content).encode(), headers
--- a/gentianstair/core/grace_period.py
+++ b/gentianstair/core/grace_period.py
@@ -1,4 +1,4 @@
-"""Bound requests by the end of the grace once their process is leaving."""
+"""Limit requests to the grace period of a shutdown."""
 
 import collections.abc
 import contextlib
@@ -6,21 +6,21 @@
 
 import trio
 
-# Left of the grace for final answers to reach their callers, before the
-# server closes what is still open.
+# Part of the grace period kept for responses to reach their callers before
+# the server closes the remaining connections.
 RESPONSE_FLUSH_S = 0.25
 
 
 class GracePeriod:
-    """The time that requests still have; without limit until a stop."""
+    """The time that requests still have; unlimited before a shutdown."""
 
     def __init__(self) -> None:
         self._end_s = math.inf
         self._scopes: set[trio.CancelScope] = set()
 
-    def expire_in(self, left_s: float) -> None:
-        """Bound the requests under way, and all later ones."""
-        self._end_s = trio.current_time() + left_s
+    def expire_in(self, remaining_s: float) -> None:
+        """Set the end of the period for requests in flight and later ones."""
+        self._end_s = trio.current_time() + remaining_s
         for scope in self._scopes:
             scope.deadline = min(scope.deadline, self._end_s)
 
@@ -30,7 +30,7 @@
 
     @contextlib.contextmanager
     def limit(self, scope: trio.CancelScope) -> collections.abc.Iterator[None]:
-        """Cancel the scope at the end of the grace."""
+        """Cancel the scope at the end of the grace period."""
         scope.deadline = min(scope.deadline, self._end_s)
         self._scopes.add(scope)
         try:
--- a/test/core/__init__.py
+++ b/test/core/__init__.py
@@ -1,1 +1,1 @@
-"""Test what both interfaces build on."""
+"""Test the request handling that the entry process and gateway share."""
--- a/test/core/test_exchange.py
+++ b/test/core/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""Test that a connection is read on, or closed, after each answer."""
+"""Test that a connection stays usable or is closed after a response."""
 
 import contextlib
 import time
@@ -13,7 +13,7 @@
 from gentianstair.util import serving
 
 REQUEST = b'GET / HTTP/1.1\r\nhost: x\r\n\r\n'
-PROMPT_S = 5.0
+RESPONSE_TIMEOUT_S = 5.0
 DEADLINE_S = 0.05
 
 
@@ -27,59 +27,65 @@
         )
         stream = await trio.open_tcp_stream(*sock.getsockname())
         async with stream:
-            with trio.fail_after(PROMPT_S):
+            with trio.fail_after(RESPONSE_TIMEOUT_S):
                 yield stream
         nursery.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize('length', [[(b'content-length', b'4')], []])
-async def test_an_answer_at_the_deadline_leaves_its_connection_open(length):
-    # The next request on it was not read, and the channel was not closed.
-    ends = []
+@pytest.mark.parametrize(
+    'headers',
+    [[(b'content-length', b'4')], []],
+    ids=['content-length', 'chunked'],
+)
+async def test_response_at_the_deadline_leaves_its_connection_open(headers):
+    # Guards against a connection that is neither read from nor closed after
+    # a response that ends at the deadline.
+    reasons = []
 
-    async def answer(exchange):
-        await exchange.start(200, length)
+    async def respond(exchange):
+        await exchange.start(200, headers)
         await exchange.end(b'done')
 
-    async def answer_late(exchange):
+    async def respond_late(exchange):
         async def work():
-            # A replica's answer and the deadline come in one turn of a loop
-            # that was held up.
+            # Blocks the event loop, so that the response and the deadline
+            # come in the same iteration.
             time.sleep(DEADLINE_S)
             await trio.lowlevel.cancel_shielded_checkpoint()
-            await answer(exchange)
+            await respond(exchange)
 
         await exchange.read_body(1000, 1.0)
         if exchange.path == '/late':
-            ends.append(
+            reasons.append(
                 await request_lifetime.run_until_ended(
                     exchange, work, DEADLINE_S, grace_period.GracePeriod()
                 )
             )
         else:
-            await answer(exchange)
+            await respond(exchange)
 
-    async with connection_to(answer_late) as stream:
+    async with connection_to(respond_late) as stream:
         await stream.send_all(REQUEST.replace(b'/ ', b'/late '))
         assert b'200' in await stream.receive_some()
         await trio.sleep(2 * DEADLINE_S)
         await stream.send_all(REQUEST)
         assert b'200' in await stream.receive_some()
-    assert ends == [request_lifetime.EndReason.DONE]
+    assert reasons == [request_lifetime.EndReason.DONE]
 
 
-async def test_a_refused_body_does_not_hold_its_connection():
-    # Parts of it that waited to be read kept the channel from being closed.
-    async def refuse(exchange):
+async def test_refused_body_does_not_keep_its_connection_open():
+    # Guards against unread parts of the body that keep the connection from
+    # being closed.
+    async def refuse_body(exchange):
         try:
             await exchange.read_body(1000, 1.0)
         except errors.RequestError as error:
-            # Held up, so that the server's queue of parts is full.
+            # Lets the server's queue of body parts fill up.
             await trio.sleep(0.1)
             await exchange.send_error(error, 'r1')
 
     head = b'POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 100000000\r\n\r\n'
-    async with connection_to(refuse) as stream:
+    async with connection_to(refuse_body) as stream:
         with contextlib.suppress(trio.BrokenResourceError):
             await stream.send_all(head + b'x' * 100000000)
         with contextlib.suppress(trio.BrokenResourceError):
--- a/test/util/test_random_stops.py
+++ b/test/util/test_random_stops.py
@@ -10,7 +10,7 @@
 
 from gentianstair.core import asgi
 from gentianstair.core import exchange as exchanges
-from gentianstair.core import grace_period as graces
+from gentianstair.core import grace_period
 from gentianstair.core import request_lifetime
 from gentianstair.util import serving
 
@@ -23,7 +23,7 @@
     def __init__(self, chance):
         self.chance = chance
         self.given = {}
-        self.grace = graces.GracePeriod()
+        self.grace = grace_period.GracePeriod()
         self.leaving = trio.Event()
 
     async def serve(self, exchange):
