--- a/gentianstair/gateway/handler.py
+++ b/gentianstair/gateway/handler.py
@@ -10,7 +10,7 @@
 from gentianstair import verdict as verdicts
 from gentianstair.core import asgi
 from gentianstair.core import exchange as exchanges
-from gentianstair.core import patience
+from gentianstair.core import request_lifetime
 from gentianstair.gateway import calls
 from gentianstair.gateway import catalog
 from gentianstair.gateway import forward
@@ -55,7 +55,7 @@
         self._exchange = exchange
         # While the process drains, responses ask callers to close their
         # connections.
-        exchange.closes = node.draining.is_set
+        exchange.should_close = node.draining.is_set
         self._arrived_s = node.clock()
         self._call: calls.Call | None = None
         self._request: request_state.RequestState | None = None
@@ -68,7 +68,7 @@
             await self._serve()
         except errors.RequestError as error:
             await self._send_error(error)
-        except exchanges.CallerGoneError as error:
+        except exchanges.CallerDisconnectedError as error:
             self._log_disconnect(error)
             if self._exchange.started:
                 # The server closes a connection whose response is not
@@ -88,13 +88,15 @@
             RUNNING.dec()
             # A request without a status was cancelled: the grace period is
             # over, or the process ends.
-            self._status = self._status or exchanges.HTTP_CLOSED_HERE
+            self._status = self._status or exchanges.HTTP_CLOSED_BY_SERVER
             self._record_result()
 
-    def _log_disconnect(self, error: exchanges.CallerGoneError) -> None:
+    def _log_disconnect(
+        self, error: exchanges.CallerDisconnectedError
+    ) -> None:
         """Log that the connection has ended, and which side closed it."""
         connection = self._exchange.connection
-        self._status = self._exchange.gone_status()
+        self._status = self._exchange.disconnect_status()
         # An HTTP/2 stream may be reset while its connection stays open.
         end = connection.end or connections.End.STREAM_RESET
         logger = loguru.logger.bind(
@@ -163,7 +165,7 @@
                 **self._request_id_field(),
             ).info('response cut off: {}', error.detail)
             # A truncated response must not look complete.
-            raise exchanges.CallerGoneError(f'cut off: {error.detail}')
+            raise exchanges.CallerDisconnectedError(f'cut off: {error.detail}')
         call = self._call
         headers = wire.refusal_headers(
             call.request_id if call else '', error.retry_after_s
@@ -291,27 +293,29 @@
         if request.remaining_s() < request_state.MIN_REMAINING_S:
             # An attempt made now would time out, possibly after it had run.
             raise request.final_error()
-        end = await patience.run(
+        end = await request_lifetime.run_until_ended(
             self._exchange,
             functools.partial(self._forward, request, service),
             request.remaining_s(),
             self._node.grace,
         )
-        if end is patience.End.DONE:
+        if end is request_lifetime.EndReason.DONE:
             return
         if request.attempts:
             request.record_verdict(verdicts.Verdict.MAY_HAVE_RUN)
-        if end is patience.End.GONE:
-            raise exchanges.CallerGoneError('the caller disconnected')
+        if end is request_lifetime.EndReason.DISCONNECTED:
+            raise exchanges.CallerDisconnectedError('the caller disconnected')
         raise self._timeout_error(request, end)
 
     def _timeout_error(
-        self, request: request_state.RequestState, end: patience.End
+        self,
+        request: request_state.RequestState,
+        end: request_lifetime.EndReason,
     ) -> errors.RequestError:
         """Return the error of a request that ran out of time."""
         if request.verdict is verdicts.Verdict.NOT_RUN:
             return request.final_error()
-        if end is patience.End.STOPPED:
+        if end is request_lifetime.EndReason.SHUT_DOWN:
             return errors.RequestError(
                 504,
                 'stopping',
--- a/gentianstair/gateway/leader_tasks.py
+++ b/gentianstair/gateway/leader_tasks.py
@@ -148,21 +148,21 @@
             )
 
 
-def lease_terms(lease_s: float) -> lease.Terms:
+def lease_terms(lease_s: float) -> lease.LeaseTiming:
     """Return the terms of the leader lease.
 
     A leader acts for less than lease_s after its last renewal, and its
     successor waits for longer, so that two leaders never alternate within
     lease_s.
     """
-    return lease.Terms(
+    return lease.LeaseTiming(
         duration_s=lease_s,
         margin_s=0.1 * lease_s,
-        rest_s=lease_s + REST_MARGIN_S,
+        cooldown_s=lease_s + REST_MARGIN_S,
     )
 
 
 def takeover_delay_s(lease_s: float) -> float:
     """Return how long a new process waits before it can take the lease."""
     terms = lease_terms(lease_s)
-    return terms.rest_s + terms.duration_s + terms.margin_s
+    return terms.cooldown_s + terms.duration_s + terms.margin_s
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -15,7 +15,7 @@
 from gentianstair import errors
 from gentianstair.control import lease
 from gentianstair.core import ejection
-from gentianstair.core import grace
+from gentianstair.core import grace_period
 from gentianstair.gateway import autoscaler
 from gentianstair.gateway import cache_updates
 from gentianstair.gateway import cache_watch
@@ -78,7 +78,7 @@
 
     node: nodes.Node
     members: memberships.Members
-    leases: lease.Leases
+    leases: lease.LeaseManager
     reporter: leader_tasks.UsageReporter
     fleet: autoscaler.Autoscaler
     touch: store_watch.StoreHealth
@@ -114,7 +114,7 @@
         prefill_costs,
     )
     node = _make_node(live, store, counts, members, prefill_costs, nursery)
-    leases = lease.make_leases(
+    leases = lease.make_lease_manager(
         store, name, now, leader_tasks.lease_terms(bounds.lease_s)
     )
     platform = cloud.Cloud(vm_settings.duties_address, vm_settings.vm)
@@ -189,7 +189,7 @@
         store=store,
         usage=counts,
         draining=trio.Event(),
-        grace=grace.Grace(),
+        grace=grace_period.GracePeriod(),
         nursery=nursery,
     )
 
@@ -288,12 +288,12 @@
         # An earlier process on this VM may just have held the lease; the pause
         # lets other VMs take it, as between two terms of one holder.
         await trio.sleep(
-            leader_tasks.lease_terms(vm_settings.bounds.lease_s).rest_s
+            leader_tasks.lease_terms(vm_settings.bounds.lease_s).cooldown_s
         )
     scopes = {leader_tasks.SCOPE: functools.partial(_run_duties, process)}
     roster = process.node.roster
 
-    def offered_scopes() -> dict[str, lease.Role]:
+    def offered_scopes() -> dict[str, lease.HolderTask]:
         # Only hubs compete, because each check of the lease is a store call.
         return scopes if roster.is_hub() else {}
 
@@ -312,13 +312,15 @@
 
     No request is ended before the last sixth of the grace period.
     """
-    reserved_s = grace.LAST_ANSWERS_S + FINAL_WRITES_S
+    reserved_s = grace_period.RESPONSE_FLUSH_S + FINAL_WRITES_S
     return max(REQUEST_GRACE_SHARE * grace_s, grace_s - reserved_s)
 
 
 def connection_grace_s(grace_s: float) -> float:
     """Return how long connections may last after a stop is requested."""
-    return min(request_grace_s(grace_s) + grace.LAST_ANSWERS_S, grace_s)
+    return min(
+        request_grace_s(grace_s) + grace_period.RESPONSE_FLUSH_S, grace_s
+    )
 
 
 def _idle_limit_s(node: nodes.Node) -> float:
@@ -332,7 +334,7 @@
     await stop_requested.wait()
     loguru.logger.bind(event=events.STOPPING).info('stopping')
     node.draining.set()
-    node.grace.end_in(request_grace_s(node.deployment.bounds.grace_s))
+    node.grace.expire_in(request_grace_s(node.deployment.bounds.grace_s))
     await trio.sleep(BALANCER_DRAIN_S)
 
 
--- a/gentianstair/gateway/monitoring.py
+++ b/gentianstair/gateway/monitoring.py
@@ -24,7 +24,7 @@
 
 
 async def _not_found(exchange: exchanges.Exchange) -> None:
-    await exchange.answer(404, TEXT, b'no such path\n')
+    await exchange.respond(404, TEXT, b'no such path\n')
 
 
 def make_readiness_app(node: nodes.Node) -> asgi.App:
@@ -37,7 +37,7 @@
         why = not_ready_reason(node)
         body = {'ready': True} if why is None else {'ready': False, 'why': why}
         status = 200 if why is None else 503
-        await exchange.answer(status, JSON, msgspec.json.encode(body))
+        await exchange.respond(status, JSON, msgspec.json.encode(body))
 
     return asgi.make_app(serve)
 
@@ -49,7 +49,7 @@
         if exchange.path != METRICS_PATH:
             await _not_found(exchange)
             return
-        await exchange.answer(
+        await exchange.respond(
             200,
             prometheus_client.CONTENT_TYPE_LATEST,
             prometheus_client.generate_latest(),
--- a/gentianstair/gateway/request_state.py
+++ b/gentianstair/gateway/request_state.py
@@ -77,7 +77,7 @@
     def remaining_s(self) -> float:
         """Return the time to the deadline or the end of the grace period."""
         left_s = max(0.0, self.deadline_s - self.node.clock())
-        return min(left_s, self.node.grace.left_s())
+        return min(left_s, self.node.grace.remaining_s())
 
     def priority(self) -> int:
         """Return the customer's priority, or else the route's."""
@@ -107,7 +107,9 @@
         healthy = [
             replica
             for replica in usable
-            if self.node.ejector.usable(self._ejector_key(replica), now_s)
+            if self.node.ejector.is_available(
+                self._ejector_key(replica), now_s
+            )
         ]
         untried = [
             r for r in healthy or usable if r.name not in self.tried_replicas
@@ -131,7 +133,9 @@
             for replica in self.node.registry.copy_sources(
                 self.service, drain_limit_s
             )
-            if self.node.ejector.usable(self._ejector_key(replica), now_s)
+            if self.node.ejector.is_available(
+                self._ejector_key(replica), now_s
+            )
         ]
 
     def _ejector_key(self, replica: replicas.Replica) -> str:
@@ -142,7 +146,7 @@
         now_s = self.node.clock()
         self.attempts += 1
         self.tried_replicas.add(replica.name)
-        self.node.ejector.started(self._ejector_key(replica), now_s)
+        self.node.ejector.record_start(self._ejector_key(replica), now_s)
         return now_s
 
     def record_success(
@@ -150,7 +154,7 @@
     ) -> None:
         """Report a successful attempt to the ejector."""
         now_s = self.node.clock()
-        self.node.ejector.report(
+        self.node.ejector.record_outcome(
             self._ejector_key(replica), True, now_s - started_s, now_s
         )
 
@@ -171,12 +175,14 @@
         if isinstance(error, errors.UnreachableError):
             self.attempts -= 1
             self.unreachable_attempts += 1
-            self.node.ejector.unreachable(key, now_s)
+            self.node.ejector.eject_unreachable(key, now_s)
             loguru.logger.bind(
                 event=events.REPLICA_UNREACHABLE, replica=replica.name
             ).info('could not connect to a replica; skipping it for now')
         elif not isinstance(error, errors.TurnedAwayError):
-            self.node.ejector.report(key, False, now_s - started_s, now_s)
+            self.node.ejector.record_outcome(
+                key, False, now_s - started_s, now_s
+            )
         self.record_verdict(error.verdict)
         self.log(
             events.TRY_FAILED,
--- a/test/gateway/test_cut_connections.py
+++ b/test/gateway/test_cut_connections.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 
-from gentianstair.core import grace
+from gentianstair.core import grace_period
 from gentianstair.gateway import main
 from gentianstair.generated import events
 from gentianstair.ui import losses
@@ -176,7 +176,7 @@
     monkeypatch.setattr(main, 'BALANCER_DRAIN_S', 0.0)
     # Keep the request running past the grace period instead of ending it with
     # a response.
-    monkeypatch.setattr(grace.Grace, 'end_in', lambda *_: None)
+    monkeypatch.setattr(grace_period.GracePeriod, 'expire_in', lambda *_: None)
     async with sites.running() as site:
         desks = [r for r in site.replicas if r.service == 'desk']
         for desk in desks:
