--- a/gentianstair/entry/admission.py
+++ b/gentianstair/entry/admission.py
@@ -21,11 +21,11 @@
 HEARTBEAT_S = 2.0
 PEER_TIMEOUT_S = 3.0 * HEARTBEAT_S
 # All rows are sent again this often, so a lost message heals.
-FULL_SUMMARY_S = 10.0
+FULL_SUMMARY_INTERVAL_S = 10.0
 # Longest Retry-After; a longer line is not worth telling.
-LONGEST_RETRY_S = 3600.0
+MAX_RETRY_AFTER_S = 3600.0
 
-Record = collections.abc.Callable[[waiting.Decision], None]
+RecordDecision = collections.abc.Callable[[waiting.Decision], None]
 
 
 def _log(decision: waiting.Decision) -> None:
@@ -66,7 +66,7 @@
         vm: str,
         weight_of: fairness.WeightOf,
         clock: clocks.Clock,
-        record: Record,
+        record: RecordDecision,
     ) -> None:
         self._vm = vm
         self._weight_of = weight_of
@@ -80,7 +80,7 @@
         self._peer_incarnation: dict[str, str] = {}
         self._sent: dict[tuple[str, str], messages.ServiceRow] = {}
         self._sent_numbers: dict[tuple[str, str], int] = {}
-        self._full_s = -FULL_SUMMARY_S
+        self._full_s = -FULL_SUMMARY_INTERVAL_S
         self._sent_s = -HEARTBEAT_S
 
     def set_capacity(
@@ -145,11 +145,11 @@
             # queue or its slot is free at once.
             pool.leave(waiter, ticket.usage, started_s, self._clock())
 
-    def waiting(self, model: str) -> int:
+    def waiting_count(self, model: str) -> int:
         """Return how many requests of a model wait here."""
         return self._pool(model).waiting_count()
 
-    def running(self, model: str) -> int:
+    def running_count(self, model: str) -> int:
         """Return how many requests of a model hold a slot here."""
         return self._pool(model).running_count
 
@@ -158,27 +158,27 @@
         return self._pool(model).counters
 
     def summary(
-        self, most_rows: int | None = None
+        self, max_rows: int | None = None
     ) -> messages.FairnessSummary | None:
         """Return the rows that changed since the last call, or None.
 
-        With most_rows, those sent longest ago go first and the others wait
+        With max_rows, those sent longest ago go first and the others wait
         for the next call.
         """
         now_s = self._clock()
-        if now_s - self._full_s >= FULL_SUMMARY_S:
+        if now_s - self._full_s >= FULL_SUMMARY_INTERVAL_S:
             self._full_s = now_s
             self._sent.clear()
         rows = []
         for pool in self._pools.values():
             for row in pool.rows(now_s):
                 key = (row['model'], row['customer'])
-                if fairness.changed(row, self._sent.get(key)):
+                if fairness.has_changed(row, self._sent.get(key)):
                     rows.append(row)
             self._resplit(pool)
-        if most_rows is not None and len(rows) > most_rows:
+        if max_rows is not None and len(rows) > max_rows:
             rows.sort(key=self._sent_number)
-            del rows[most_rows:]
+            del rows[max_rows:]
         for row in rows:
             key = (row['model'], row['customer'])
             self._sent[key] = row
@@ -228,7 +228,7 @@
 def _refusal(decision: waiting.Decision) -> errors.RequestError:
     retry_after_s = decision.retry_after_s
     if retry_after_s is not None:
-        retry_after_s = min(retry_after_s, LONGEST_RETRY_S)
+        retry_after_s = min(retry_after_s, MAX_RETRY_AFTER_S)
     return errors.RequestError(
         429 if decision.reason == 'over-share' else 503,
         decision.reason,
@@ -242,7 +242,7 @@
     vm: str = 'local',
     weight_of: fairness.WeightOf = lambda customer: 1.0,
     clock: clocks.Clock = clocks.trio_time_s,
-    record: Record = _log,
+    record: RecordDecision = _log,
 ) -> Queue:
     """Return the queue of one entry process.
 
@@ -252,4 +252,4 @@
     return Queue(vm, weight_of, clock, record)
 
 
-__all__ = ('Queue', 'Record', 'Ticket', 'make_queue')
+__all__ = ('Queue', 'RecordDecision', 'Ticket', 'make_queue')
--- a/gentianstair/entry/fairness.py
+++ b/gentianstair/entry/fairness.py
@@ -9,12 +9,12 @@
 # Version of the summaries this module writes.
 SUMMARY_VERSION = 1
 # A row is sent again once a figure of it moved by this share.
-CHANGED_SHARE = 0.05
+MIN_CHANGE_SHARE = 0.05
 
 WeightOf = collections.abc.Callable[[str], float]
 
 
-class Rate:
+class DecayingRate:
     """An average of a flow per second that forgets with a half-life."""
 
     def __init__(self, half_life_s: float, now_s: float) -> None:
@@ -53,7 +53,7 @@
     def __init__(self, weight_of: WeightOf) -> None:
         self._weight_of = weight_of
         self.served: dict[str, float] = {}
-        self.own: dict[str, float] = {}
+        self.served_here: dict[str, float] = {}
         self._lift: dict[str, float] = {}
 
     def value(self, customer: str) -> float:
@@ -62,12 +62,12 @@
         weight = max(self._weight_of(customer), 1e-9)
         return served / weight + self._lift.get(customer, 0.0)
 
-    def add(self, customer: str, cost: float) -> None:
+    def charge(self, customer: str, cost: float) -> None:
         """Charge cost served here; a refund is negative."""
-        self.own[customer] = self.own.get(customer, 0.0) + cost
-        self.add_remote(customer, cost)
+        self.served_here[customer] = self.served_here.get(customer, 0.0) + cost
+        self.charge_remote(customer, cost)
 
-    def add_remote(self, customer: str, cost: float) -> None:
+    def charge_remote(self, customer: str, cost: float) -> None:
         """Charge cost that a peer served."""
         self.served[customer] = self.served.get(customer, 0.0) + cost
 
@@ -81,7 +81,7 @@
         if behind > 0.0:
             self._lift[customer] = self._lift.get(customer, 0.0) + behind
 
-    def turn(self, customer: str) -> tuple[float, float, str]:
+    def order_key(self, customer: str) -> tuple[float, float, str]:
         """Return the key by which customers take turns, lowest first.
 
         Of equals the newcomer goes first, which was lifted the most.
@@ -90,7 +90,7 @@
         return round(self.value(customer), 6), -lift, customer
 
 
-class Turns:
+class CustomerHeap:
     """The waiting customers in the order of their turns.
 
     A heap with stale entries: counters mostly grow, so an entry that is out
@@ -106,7 +106,7 @@
 
     def add(self, customer: str) -> None:
         """Let a customer take part, or note that its counter fell."""
-        entry = self._counters.turn(customer)
+        entry = self._counters.order_key(customer)
         if self._entries.get(customer) != entry:
             self._entries[customer] = entry
             heapq.heappush(self._heap, entry)
@@ -123,7 +123,7 @@
             if self._entries.get(customer) is not entry:
                 heapq.heappop(self._heap)
                 continue
-            now = self._counters.turn(customer)
+            now = self._counters.order_key(customer)
             if now <= entry:
                 return customer
             self._entries[customer] = now
@@ -131,14 +131,14 @@
         return None
 
 
-def fill(
+def max_min_fair(
     total: float,
     demands: collections.abc.Mapping[str, float],
     weight_of: WeightOf,
 ) -> dict[str, float]:
     """Return the weighted max-min fair split of total over demands.
 
-    >>> fill(10.0, {'a': 2.0, 'b': 30.0, 'c': 30.0}, lambda name: 1.0)
+    >>> max_min_fair(10.0, {'a': 2.0, 'b': 30.0, 'c': 30.0}, lambda name: 1.0)
     {'a': 2.0, 'b': 4.0, 'c': 4.0}
     """
     weights = {name: max(weight_of(name), 1e-9) for name in demands}
@@ -153,7 +153,7 @@
     return given
 
 
-def split(
+def vm_shares(
     total: float,
     demands: collections.abc.Mapping[str, dict[str, float]],
     weight_of: WeightOf,
@@ -163,14 +163,14 @@
     Every customer gets its fair part of the whole fleet, wherever its
     callers arrive; what nobody asks for is spread evenly.
 
-    >>> split(9.0, {'v1': {'a': 50.0}, 'v2': {'b': 3.0}}, lambda name: 1.0)
+    >>> vm_shares(9.0, {'v1': {'a': 50.0}, 'v2': {'b': 3.0}}, lambda name: 1.0)
     {'v1': 6.0, 'v2': 3.0}
     """
     asked: dict[str, float] = {}
     for rows in demands.values():
         for customer, demand in rows.items():
             asked[customer] = asked.get(customer, 0.0) + demand
-    given = fill(total, asked, weight_of)
+    given = max_min_fair(total, asked, weight_of)
     spare = max(0.0, total - sum(given.values())) / max(1, len(demands))
     parts = {}
     for vm, rows in demands.items():
@@ -182,7 +182,7 @@
     return parts
 
 
-def changed(
+def has_changed(
     row: messages.ServiceRow, last: messages.ServiceRow | None
 ) -> bool:
     """Return whether a row moved enough since it was last sent."""
@@ -191,6 +191,6 @@
     for field in ('served_cost', 'demand_cost_per_s', 'waiting_cost'):
         new = typing.cast(float, row[field])
         old = typing.cast(float, last[field])
-        if abs(new - old) > CHANGED_SHARE * max(abs(old), 1.0):
+        if abs(new - old) > MIN_CHANGE_SHARE * max(abs(old), 1.0):
             return True
     return False
--- a/gentianstair/entry/handler.py
+++ b/gentianstair/entry/handler.py
@@ -191,10 +191,10 @@
 
         async def run() -> None:
             tokens = work.prompt_tokens + work.max_tokens
-            with node.limits.hold(caller.customer, tokens) as hold:
+            with node.limits.acquire(caller.customer, tokens) as permit:
                 async with node.queue.admit(work, returning) as ticket:
                     usage = await self._generate(request, completion, model)
-                    hold.used(usage.prompt_tokens + usage.output_tokens)
+                    permit.settle(usage.prompt_tokens + usage.output_tokens)
                     ticket.charge(*usage)
 
         await self._until_gone(run, deadline_s)
@@ -279,7 +279,7 @@
         )
 
         async def run() -> None:
-            with node.limits.hold(caller.customer, 0):
+            with node.limits.acquire(caller.customer, 0):
                 await self._reply(await services.run(node, request, call))
 
         if call.repeatable:
--- a/gentianstair/entry/limits.py
+++ b/gentianstair/entry/limits.py
@@ -30,16 +30,16 @@
 EVEN_SHARE = 0.1
 DEMAND_HALF_LIFE_S = 2.0
 # Least time between two summaries, and the lag that they are allowed.
-INTERVAL_S = 0.5
-FULL_SUMMARY_S = 10.0
+SUMMARY_INTERVAL_S = 0.5
+FULL_SUMMARY_INTERVAL_S = 10.0
 # A summary is sent at least this often, also without rows, and a peer that
 # was silent for three times as long keeps an even part for itself: it may
 # be cut off and unable to hear what is asked of others.
 HEARTBEAT_S = 2.0
-SILENT_S = 3.0 * HEARTBEAT_S
+PEER_TIMEOUT_S = 3.0 * HEARTBEAT_S
 
 
-class Terms(typing.NamedTuple):
+class CustomerLimits(typing.NamedTuple):
     """A customer's limits on the whole fleet; 0 is no limit."""
 
     requests_per_s: float = 0.0
@@ -47,7 +47,7 @@
     concurrent: int = 0
 
 
-TermsOf = collections.abc.Callable[[str], Terms]
+LimitsOf = collections.abc.Callable[[str], CustomerLimits]
 
 
 class _Bucket:
@@ -77,8 +77,8 @@
     def __init__(self, now_s: float) -> None:
         self.requests = _Bucket(now_s)
         self.tokens = _Bucket(now_s)
-        self.request_rate = fairness.Rate(DEMAND_HALF_LIFE_S, now_s)
-        self.token_rate = fairness.Rate(DEMAND_HALF_LIFE_S, now_s)
+        self.request_rate = fairness.DecayingRate(DEMAND_HALF_LIFE_S, now_s)
+        self.token_rate = fairness.DecayingRate(DEMAND_HALF_LIFE_S, now_s)
         self.running = 0
         # Requests and tokens a second: told now, and an interval before.
         self.told = (0.0, 0.0)
@@ -97,14 +97,14 @@
         return requests, tokens
 
 
-class Hold:
+class Permit:
     """A request let through; settles what it really used."""
 
     def __init__(self, use: _Use, tokens: int) -> None:
         self._use = use
         self._tokens = tokens
 
-    def used(self, tokens: int) -> None:
+    def settle(self, tokens: int) -> None:
         """Replace the expected tokens by those the upstream counted."""
         level = self._use.tokens.level
         if level is not None:
@@ -116,10 +116,10 @@
     """This VM's part of every customer's limits."""
 
     def __init__(
-        self, vm: str, terms_of: TermsOf, clock: clocks.Clock
+        self, vm: str, limits_of: LimitsOf, clock: clocks.Clock
     ) -> None:
         self._vm = vm
-        self._terms_of = terms_of
+        self._limits_of = limits_of
         self._clock = clock
         self._live = {vm}
         self._incarnation = uuid.uuid4().hex[:12]
@@ -128,9 +128,9 @@
         self._peer_incarnation: dict[str, str] = {}
         self._sent: dict[str, messages.UseRow] = {}
         self._heard_s: dict[str, float] = {}
-        self._summary_s = -INTERVAL_S
+        self._summary_s = -SUMMARY_INTERVAL_S
         self._sent_s = -HEARTBEAT_S
-        self._full_s = -FULL_SUMMARY_S
+        self._full_s = -FULL_SUMMARY_INTERVAL_S
 
     def set_vms(self, live: collections.abc.Iterable[str]) -> None:
         """Set the entry VMs; rows of those that left are dropped."""
@@ -155,7 +155,7 @@
         if total <= 1e-6:
             return even
         silent = sum(
-            now_s - self._heard_s.get(vm, -SILENT_S) >= SILENT_S
+            now_s - self._heard_s.get(vm, -PEER_TIMEOUT_S) >= PEER_TIMEOUT_S
             for vm in self._live
             if vm != self._vm
         )
@@ -170,9 +170,9 @@
         )
 
     @contextlib.contextmanager
-    def hold(
+    def acquire(
         self, customer: str, tokens: int
-    ) -> collections.abc.Iterator[Hold]:
+    ) -> collections.abc.Iterator[Permit]:
         """Let a request of so many expected tokens through, or refuse it.
 
         Raise RequestError 429, NOT_RUN, with the time to come back.
@@ -181,32 +181,32 @@
         use = self._uses.setdefault(customer, _Use(now_s))
         use.request_rate.add(1.0, now_s)
         use.token_rate.add(tokens, now_s)
-        self._check(customer, use, self._terms_of(customer), now_s)
+        self._check(customer, use, self._limits_of(customer), now_s)
         if use.requests.level is not None:
             use.requests.level -= 1.0
         if use.tokens.level is not None:
             use.tokens.level -= tokens
         use.running += 1
-        held = Hold(use, tokens)
+        held = Permit(use, tokens)
         try:
             yield held
         except errors.RequestError as error:
             # Refused further on: what did not run must use up no limit.
             if error.verdict is verdicts.Verdict.NOT_RUN:
-                held.used(0)
+                held.settle(0)
             raise
         finally:
             use.running -= 1
 
     def _check(
-        self, customer: str, use: _Use, terms: Terms, now_s: float
+        self, customer: str, use: _Use, terms: CustomerLimits, now_s: float
     ) -> None:
         requests_share = self._share(customer, use, 0)
         if terms.concurrent > 0:
             part = max(1, int(terms.concurrent * requests_share))
             total = use.running + self._peers_running(customer)
             if use.running >= part or total >= terms.concurrent:
-                raise _refusal('concurrent-limit', INTERVAL_S * 2.0)
+                raise _refusal('concurrent-limit', SUMMARY_INTERVAL_S * 2.0)
         if terms.requests_per_s > 0.0:
             rate = terms.requests_per_s * requests_share
             use.requests.refill(rate, 1.0, now_s)
@@ -221,24 +221,24 @@
                 raise _refusal('token-limit', wait_s)
 
     def summary(
-        self, most_rows: int | None = None
+        self, max_rows: int | None = None
     ) -> messages.LimitsSummary | None:
-        """Return the rows that changed, or None; call each INTERVAL_S.
+        """Return the changed rows, or None if no summary is due.
 
-        With most_rows, those sent longest ago go first and the others wait
+        With max_rows, those sent longest ago go first and the others wait
         for the next call; until then their demand counts as last told.
         """
         now_s = self._clock()
-        if now_s - self._summary_s < INTERVAL_S - 1e-9:
+        if now_s - self._summary_s < SUMMARY_INTERVAL_S - 1e-9:
             return None
         self._summary_s = now_s
-        if now_s - self._full_s >= FULL_SUMMARY_S:
+        if now_s - self._full_s >= FULL_SUMMARY_INTERVAL_S:
             self._full_s = now_s
             self._sent.clear()
         rows = self._changed_rows(now_s)
-        if most_rows is not None and len(rows) > most_rows:
+        if max_rows is not None and len(rows) > max_rows:
             rows.sort(key=lambda row: self._uses[row['customer']].sent_s)
-            del rows[most_rows:]
+            del rows[max_rows:]
         for row in rows:
             use = self._uses[row['customer']]
             use.sent_s = now_s
@@ -293,7 +293,7 @@
     if row['running'] != last['running']:
         return True
     return any(
-        abs(new - old) > fairness.CHANGED_SHARE * max(old, 0.1)
+        abs(new - old) > fairness.MIN_CHANGE_SHARE * max(old, 0.1)
         for new, old in (
             (row['demand_requests_per_s'], last['demand_requests_per_s']),
             (row['demand_tokens_per_s'], last['demand_tokens_per_s']),
@@ -309,11 +309,11 @@
 
 def make_limits(
     vm: str,
-    terms_of: TermsOf,
+    limits_of: LimitsOf,
     clock: clocks.Clock = clocks.trio_time_s,
 ) -> Limits:
     """Return the limits of one entry process.
 
-    terms_of gives a customer's limits, for example from the view.
+    limits_of gives a customer's limits, for example from the view.
     """
-    return Limits(vm, terms_of, clock)
+    return Limits(vm, limits_of, clock)
--- a/gentianstair/entry/main.py
+++ b/gentianstair/entry/main.py
@@ -46,12 +46,14 @@
     return weight_of
 
 
-def _terms_of(view: views.View) -> typing.Callable[[str], limits.Terms]:
-    def terms_of(name: str) -> limits.Terms:
+def _terms_of(
+    view: views.View,
+) -> typing.Callable[[str], limits.CustomerLimits]:
+    def terms_of(name: str) -> limits.CustomerLimits:
         customer = view.customer(name)
         if customer is None:
-            return limits.Terms()
-        return limits.Terms(
+            return limits.CustomerLimits()
+        return limits.CustomerLimits(
             customer['requests_per_s'],
             customer['tokens_per_s'],
             customer['concurrent'],
--- a/gentianstair/entry/pool.py
+++ b/gentianstair/entry/pool.py
@@ -42,7 +42,7 @@
     ) -> None:
         self.model = model
         self.counters = fairness.Counters(weight_of)
-        self._turns = fairness.Turns(self.counters)
+        self._turns = fairness.CustomerHeap(self.counters)
         # How many peers have a customer waiting, and the lowest counter of
         # all that wait anywhere, as of the last split.
         self._waits_at_peers: collections.Counter[str] = collections.Counter()
@@ -60,7 +60,7 @@
             str, list[tuple[tuple[int, int], waiting.Waiter]]
         ] = {}
         self._line_cost: dict[str, float] = {}
-        self._demand: dict[str, fairness.Rate] = {}
+        self._demand: dict[str, fairness.DecayingRate] = {}
         self._promises: dict[str, promise_books.Book] = {}
         self._peer_rows: dict[str, dict[str, messages.ServiceRow]] = {}
 
@@ -294,7 +294,7 @@
             self._taken(customer, waiter)
             waiter.running = True
             self.running_count += 1
-            self.counters.add(customer, waiter.cost)
+            self.counters.charge(customer, waiter.cost)
             waiter.granted.set()
 
     def give_up(
@@ -329,9 +329,9 @@
         customer = waiter.work.customer
         if started_s is None:
             # Granted in the same instant as its caller hung up.
-            self.counters.add(customer, -waiter.cost)
+            self.counters.charge(customer, -waiter.cost)
         elif usage is not None:
-            self.counters.add(customer, usage.cost - waiter.cost)
+            self.counters.charge(customer, usage.cost - waiter.cost)
             self._learn(waiter, usage, now_s - started_s, now_s)
         elif now_s - started_s > waiter.mean_s:
             # Cut off by its deadline, a failure or its caller, it had
@@ -392,7 +392,7 @@
     def _note_demand(self, customer: str, cost: float, now_s: float) -> None:
         rate = self._demand.get(customer)
         if rate is None:
-            rate = fairness.Rate(DEMAND_HALF_LIFE_S, now_s)
+            rate = fairness.DecayingRate(DEMAND_HALF_LIFE_S, now_s)
             self._demand[customer] = rate
         rate.add(cost, now_s)
 
@@ -402,7 +402,7 @@
             {
                 'model': self.model,
                 'customer': customer,
-                'served_cost': self.counters.own.get(customer, 0.0),
+                'served_cost': self.counters.served_here.get(customer, 0.0),
                 'demand_cost_per_s': rate.per_s(now_s),
                 'waiting_cost': self._line_cost.get(customer, 0.0),
             }
@@ -415,7 +415,7 @@
         last = rows.get(row['customer'])
         if last is not None:
             served = row['served_cost'] - last['served_cost']
-            self.counters.add_remote(row['customer'], served)
+            self.counters.charge_remote(row['customer'], served)
         self._note_wait(row['customer'], last, row)
         rows[row['customer']] = row
 
@@ -461,7 +461,7 @@
         if speed <= 0.0:
             self.slots = 0.0
             return
-        parts = fairness.split(speed, demands, self._caught_up(speed))
+        parts = fairness.vm_shares(speed, demands, self._caught_up(speed))
         self.slots = parts[own_vm] / self._slot_cost_per_s
         self._grant()
 
--- a/test/entry/test_admission.py
+++ b/test/entry/test_admission.py
@@ -69,11 +69,11 @@
         for number in range(5):
             nursery.start_soon(run, queue, make_work(number), done)
             await trio.testing.wait_all_tasks_blocked()
-        before = queue.waiting('m')
+        before = queue.waiting_count('m')
         await run(
             queue, make_work(9, deadline_s=trio.current_time() + 2), done
         )
-        assert queue.waiting('m') == before
+        assert queue.waiting_count('m') == before
     refused = next(item for item in done if isinstance(item, tuple))
     assert refused[1].retry_after_s > 0
 
@@ -90,9 +90,9 @@
             second.start_soon(run, queue, make_work(2), done)
             await trio.testing.wait_all_tasks_blocked()
             second.cancel_scope.cancel()
-        assert queue.waiting('m') == 0
+        assert queue.waiting_count('m') == 0
         first.cancel_scope.cancel()
-    assert queue.running('m') == 0
+    assert queue.running_count('m') == 0
     await run(queue, make_work(3), done)
     assert done == ['r1', 'r3']
 
@@ -109,5 +109,5 @@
         await trio.testing.wait_all_tasks_blocked()
         queue.set_capacity('m', 0)
         await trio.testing.wait_all_tasks_blocked()
-        assert queue.waiting('m') == 0
+        assert queue.waiting_count('m') == 0
     assert sum(isinstance(item, tuple) for item in done) == 4
--- a/test/entry/test_bad_input.py
+++ b/test/entry/test_bad_input.py
@@ -188,7 +188,7 @@
     def idle(self):
         """Say whether nothing is held by any request."""
         queue = self.node.queue
-        return queue.waiting('base') + queue.running('base') == 0
+        return queue.waiting_count('base') + queue.running_count('base') == 0
 
     async def wait_idle(self):
         """Return once nothing is held; fail if it is not let go."""
--- a/test/entry/test_fairness.py
+++ b/test/entry/test_fairness.py
@@ -21,7 +21,9 @@
     ],
 )
 def test_fill_is_max_min_fair(total, demands, weights, given):
-    found = fairness.fill(total, demands, lambda name: weights.get(name, 1))
+    found = fairness.max_min_fair(
+        total, demands, lambda name: weights.get(name, 1)
+    )
     assert found == pytest.approx(given)
 
 
@@ -31,15 +33,15 @@
     # it has caught up an hour.
     counters = fairness.Counters(lambda name: 1.0)
     for _ in range(1000):
-        counters.add('busy', 100.0)
+        counters.charge('busy', 100.0)
     counters.lift('back', counters.value('busy'))
-    waiting = fairness.Turns(counters)
+    waiting = fairness.CustomerHeap(counters)
     waiting.add('busy')
     waiting.add('back')
     turns = []
     for _ in range(10):
         name = waiting.lowest()
-        counters.add(name, 100.0)
+        counters.charge(name, 100.0)
         turns.append(name)
     assert turns.count('busy') == 5
 
@@ -48,7 +50,7 @@
 def test_turns_agree_with_a_plain_search(seed):
     rng = random.Random(seed)
     counters = fairness.Counters(lambda name: 1.0 + ord(name) % 3)
-    turns = fairness.Turns(counters)
+    turns = fairness.CustomerHeap(counters)
     waiting = set()
     for _ in range(2000):
         name = rng.choice('abcdefgh')
@@ -59,10 +61,10 @@
             waiting.add(name)
             turns.add(name)
         amount = rng.uniform(-30.0, 100.0)
-        counters.add(name, amount)
+        counters.charge(name, amount)
         if amount < 0.0 and name in waiting:
             turns.add(name)
-        plain = min(waiting, key=counters.turn, default=None)
+        plain = min(waiting, key=counters.order_key, default=None)
         assert turns.lowest() == plain
 
 
@@ -135,7 +137,7 @@
         await trio.sleep(1)
         queue.summary()
         await trio.sleep(1)
-        assert queue.running('m') == running
+        assert queue.running_count('m') == running
         nursery.cancel_scope.cancel()
 
 
--- a/test/entry/test_limits.py
+++ b/test/entry/test_limits.py
@@ -41,7 +41,7 @@
     def ask(self, name, stack=None, tokens=0):
         """Return whether one request passes; stack keeps it running."""
         try:
-            held = self.vms[name].hold('a', tokens)
+            held = self.vms[name].acquire('a', tokens)
             with contextlib.ExitStack() as own:
                 (stack or own).enter_context(held)
             return True
@@ -70,7 +70,7 @@
     # it, and two VMs may be cut off. Each VM with the whole limit would let
     # through eight times as much; a write for each request the store can't
     # carry.
-    fleet = Fleet(limits.Terms(requests_per_s=RATE), seed)
+    fleet = Fleet(limits.CustomerLimits(requests_per_s=RATE), seed)
     fleet.cut = cut
     passed = []
     while fleet.now_s < 40.0:
@@ -92,7 +92,7 @@
 def test_one_busy_vm_gets_what_the_others_leave():
     # The balancer sends a customer to one VM only. With an even part for
     # each VM and nothing shared, it gets an eighth of what it pays for.
-    fleet = Fleet(limits.Terms(requests_per_s=RATE), 1)
+    fleet = Fleet(limits.CustomerLimits(requests_per_s=RATE), 1)
     twin = twins.EvenLimit(RATE, len(VMS))
     ours, naive = 0, 0
     while fleet.now_s < 60.0:
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize('seed', [1, 2])
 def test_concurrent_limit(seed):
-    fleet = Fleet(limits.Terms(concurrent=16), seed)
+    fleet = Fleet(limits.CustomerLimits(concurrent=16), seed)
     running = []
     most = 0
     while fleet.now_s < 20.0:
@@ -127,9 +127,9 @@
     # The queue refuses a request that the limit had let through. Were its
     # tokens used up, a customer refused for a full fleet would then be
     # refused for a limit that it never used.
-    fleet = Fleet(limits.Terms(tokens_per_s=800.0), 1)
+    fleet = Fleet(limits.CustomerLimits(tokens_per_s=800.0), 1)
     for _ in range(50):
         with pytest.raises(errors.RequestError) as caught:
-            with fleet.vms['v1'].hold('a', 500):
+            with fleet.vms['v1'].acquire('a', 500):
                 raise errors.RequestError(503, 'busy', 'x')
         assert caught.value.kind == 'busy'
--- a/test/entry/test_sharing.py
+++ b/test/entry/test_sharing.py
@@ -29,7 +29,7 @@
         merge = admission.make_queue().merge
         take = sharing.checked(messages.FairnessSummary, merge)
     else:
-        made = limits.make_limits('vm-1', lambda name: limits.Terms())
+        made = limits.make_limits('vm-1', lambda name: limits.CustomerLimits())
         take = sharing.checked(messages.LimitsSummary, made.merge)
     before = sharing.DROPPED._value.get()
     take('vm-2', summary)
--- a/test/entry/test_twins.py
+++ b/test/entry/test_twins.py
@@ -96,7 +96,7 @@
         with trio.fail_after(1.0):
             await admitted.__aenter__()
     if kind == 'fair':
-        assert run.queue.waiting('m') == 0
+        assert run.queue.waiting_count('m') == 0
 
 
 @pytest.mark.parametrize('attempt', range(1, 6))
