--- a/gentianstair/entry/estimates.py
+++ b/gentianstair/entry/estimates.py
@@ -78,7 +78,7 @@
 
 def _pressure_s(
     rates: Rates,
-    state: upstream_state.State,
+    state: upstream_state.UpstreamState,
     load: loadview.Estimate,
     max_tokens: int,
 ) -> float:
@@ -94,7 +94,7 @@
 
 def estimate(
     rates: Rates,
-    state: upstream_state.State,
+    state: upstream_state.UpstreamState,
     work: works.Work,
     indexed_tokens: int,
     far: bool,
@@ -102,7 +102,7 @@
 ) -> Estimate:
     """Return what a request would meet at an upstream."""
     load = state.load.estimate(now_s)
-    cached = int(indexed_tokens * state.trust)
+    cached = int(indexed_tokens * state.index_accuracy)
     unread = max(work.prompt_tokens - cached, 1)
     # A step reads one chunk and serves all sequences besides.
     step_s = rates.step_s + load.requests * rates.decode_s
@@ -110,7 +110,7 @@
     token_s = (rates.prefill_token_s + step_s / chunk) * state.slowness
     # As many tries fail before one succeeds. A fixed cost would be less
     # than the queue of a busy upstream, and all would go to a dead one.
-    failing = state.failing(now_s)
+    failing = state.failure_rate(now_s)
     delayed_s = unread * rates.prefill_token_s * load.requests
     return Estimate(
         load.prefill_tokens * token_s,
@@ -133,10 +133,10 @@
 
 
 def indexed_tokens(
-    index: prefixes.PrefixIndex, samples: prefixes.Samples, name: str
+    index: prefixes.PrefixIndex, samples: prefixes.SampledHashes, name: str
 ) -> int:
     """Return the tokens of a prompt that the index expects cached."""
     if not samples.hashes:
         return 0
-    depth = index.depth_at(samples.hashes, name)
-    return samples.blocks(depth) * works.BLOCK_TOKENS
+    depth = index.cached_depth(samples.hashes, name)
+    return samples.covered_blocks(depth) * works.BLOCK_TOKENS
--- a/gentianstair/entry/loadview.py
+++ b/gentianstair/entry/loadview.py
@@ -5,14 +5,14 @@
 import typing
 
 # Reports that do not say how old their figures are count as this old.
-ASSUMED_AGE_S = 1.0
+DEFAULT_REPORT_AGE_S = 1.0
 # How long own changes are kept, to know what a late report already counts.
 # A report older than this is of no use.
-HISTORY_S = 10.0
+MAX_REPORT_AGE_S = 10.0
 # After this long without a report, what it said of others' work fades.
-FADE_S = 5.0
+FULL_WEIGHT_AGE_S = 5.0
 # KV memory in use from which its share tells how many requests fit.
-KV_KNOWN = 0.5
+MIN_KV_SHARE = 0.5
 
 
 class Report(typing.NamedTuple):
@@ -47,7 +47,7 @@
     started_s: float
 
 
-class LoadView:
+class UpstreamLoad:
     """What one entry process knows of one upstream's load.
 
     Own work is known at once, others' only by reports that are late. A
@@ -95,7 +95,7 @@
         self.requests += count
         changes = self._changes
         changes.append(_Change(now_s, prefill_tokens, count))
-        while changes[0].at_s < now_s - HISTORY_S:
+        while changes[0].at_s < now_s - MAX_REPORT_AGE_S:
             changes.popleft()
 
     def on_report(self, report: Report) -> None:
@@ -123,10 +123,10 @@
         if report is None:
             return Estimate(self.prefill_tokens, self.requests, math.inf, -1.0)
         age_s = now_s - report.at_s
-        fade = min(FADE_S / age_s, 1.0) if age_s > 0.0 else 1.0
+        fade = min(FULL_WEIGHT_AGE_S / age_s, 1.0) if age_s > 0.0 else 1.0
         kv_share = report.kv_used_blocks / max(report.kv_total_blocks, 1)
         # Few sequences, or little memory in use, say nothing of the rest.
-        known = kv_share > KV_KNOWN and report.running > 1
+        known = kv_share > MIN_KV_SHARE and report.running > 1
         slots = report.running / kv_share if known else math.inf
         return Estimate(
             self.prefill_tokens + self.others_prefill_tokens * fade,
@@ -143,9 +143,9 @@
 
     The upstream's clock is not ours, so its age counts, not its time.
     """
-    age_s = float(report.get('age_s', ASSUMED_AGE_S))
+    age_s = float(report.get('age_s', DEFAULT_REPORT_AGE_S))
     return Report(
-        now_s - min(max(age_s, 0.0), HISTORY_S),
+        now_s - min(max(age_s, 0.0), MAX_REPORT_AGE_S),
         int(report['running']),
         int(report['waiting']),
         int(report['waiting_prefill_tokens']),
--- a/gentianstair/entry/prefixes.py
+++ b/gentianstair/entry/prefixes.py
@@ -9,26 +9,26 @@
 # a block lies, is sampled as prompts are.
 SAMPLE_MASK = 1
 # Prefixes remembered at most; each costs about 300 bytes.
-KEPT = 100_000
-HOLDERS_KEPT = 16
+MAX_PREFIXES = 100_000
+MAX_HOLDERS = 16
 
 
-class Samples(typing.NamedTuple):
+class SampledHashes(typing.NamedTuple):
     """The remembered hashes of a prompt, and at which block each ends."""
 
     hashes: list[int]
     ends: list[int]
 
-    def blocks(self, depth: int) -> int:
+    def covered_blocks(self, depth: int) -> int:
         """Return the blocks that the first depth samples cover."""
         return self.ends[depth - 1] if depth else 0
 
 
-def sample(hashes: typing.Sequence[int]) -> Samples:
+def sample_hashes(hashes: typing.Sequence[int]) -> SampledHashes:
     """Return what is remembered of a prompt, the shortest prefix first.
 
-    >>> sample([7, 8, 10])
-    Samples(hashes=[8, 10], ends=[2, 3])
+    >>> sample_hashes([7, 8, 10])
+    SampledHashes(hashes=[8, 10], ends=[2, 3])
     """
     found: list[int] = []
     ends: list[int] = []
@@ -36,13 +36,13 @@
         if not hash_ & SAMPLE_MASK:
             found.append(hash_)
             ends.append(end)
-    return Samples(found, ends)
+    return SampledHashes(found, ends)
 
 
 class PrefixIndex:
     """Upstreams by prefix, from own requests and late cache events."""
 
-    def __init__(self, kept: int = KEPT) -> None:
+    def __init__(self, kept: int = MAX_PREFIXES) -> None:
         self._kept = kept
         self._holders: collections.OrderedDict[int, dict[str, None]] = (
             collections.OrderedDict()
@@ -63,7 +63,7 @@
         # The newest holder goes last; the oldest is dropped first.
         holders.pop(upstream, None)
         holders[upstream] = None
-        if len(holders) > HOLDERS_KEPT:
+        if len(holders) > MAX_HOLDERS:
             del holders[next(iter(holders))]
 
     def remove(self, hash_: int, upstream: str) -> None:
@@ -79,7 +79,7 @@
         """Return the upstreams that probably hold a prefix."""
         return self._holders.get(hash_, ())
 
-    def deepest(self, samples: typing.Sequence[int]) -> int:
+    def known_depth(self, samples: typing.Sequence[int]) -> int:
         """Return how many of the samples are known, from the start.
 
         Whoever holds a prefix holds what comes before it, so halving finds
@@ -95,7 +95,9 @@
                 high = middle
         return low
 
-    def depth_at(self, samples: typing.Sequence[int], upstream: str) -> int:
+    def cached_depth(
+        self, samples: typing.Sequence[int], upstream: str
+    ) -> int:
         """Return how many of the samples one upstream holds."""
         low = 0
         high = len(samples)
--- a/gentianstair/entry/routing.py
+++ b/gentianstair/entry/routing.py
@@ -85,7 +85,7 @@
         self.split = split
         self.index = prefixes.PrefixIndex()
         self._random = random.Random(f'{vm_name}/{seed}')
-        self._states: dict[str, upstream_state.State] = {}
+        self._states: dict[str, upstream_state.UpstreamState] = {}
         self._pools: dict[str, _Pool] = {}
         # Upstreams that say they take no work. One that changes its role or
         # drains has nothing running: by its load it is the best of all, and
@@ -96,8 +96,10 @@
         """Take the upstreams in force; keep what is known of old ones."""
         states = {}
         for info in infos:
-            state = self._states.get(info.name) or upstream_state.State(info)
-            state.info = info._replace(role=state.role or info.role)
+            state = self._states.get(
+                info.name
+            ) or upstream_state.UpstreamState(info)
+            state.info = info._replace(role=state.reported_role or info.role)
             states[info.name] = state
         self._states = states
         self._pools = {}
@@ -137,13 +139,13 @@
     def _candidates(
         self,
         pool: _Pool,
-        samples: prefixes.Samples,
+        samples: prefixes.SampledHashes,
         exclude: frozenset[str],
     ) -> list[str]:
         found = dict.fromkeys(self._sample(pool.direct, exclude))
         hashes = samples.hashes
         if hashes:
-            known = self.index.deepest(hashes)
+            known = self.index.known_depth(hashes)
             # Entries agree on the home of a prefix without a message, so
             # they do not each fill another engine's cache with it.
             key = hashes[known - 1] if known else hashes[0]
@@ -161,7 +163,7 @@
         """Return where to send a request, or None if nowhere."""
         pool = self._pool(work.model)
         exclude = exclude | self._away
-        samples = prefixes.sample(work.block_hashes)
+        samples = prefixes.sample_hashes(work.block_hashes)
         names = self._candidates(pool, samples, exclude)
         found = self._best(names, work, samples, now_s)
         if found is None:
@@ -185,7 +187,7 @@
         self,
         pool: _Pool,
         work: works.Work,
-        samples: prefixes.Samples,
+        samples: prefixes.SampledHashes,
         now_s: float,
         exclude: frozenset[str],
     ) -> Choice | None:
@@ -223,7 +225,7 @@
         self,
         names: typing.Iterable[str],
         work: works.Work,
-        samples: prefixes.Samples,
+        samples: prefixes.SampledHashes,
         now_s: float,
     ) -> tuple[str, estimates.Estimate] | None:
         best = None
@@ -261,7 +263,7 @@
             maker.load.started(work.request_id, 0, now_s)
         # It will be cached by the time that others of its kind arrive; the
         # engine's answer corrects this.
-        for hash_ in prefixes.sample(work.block_hashes).hashes:
+        for hash_ in prefixes.sample_hashes(work.block_hashes).hashes:
             self.index.add(hash_, choice.reader)
 
     def first_token(
@@ -277,7 +279,7 @@
         if took_s is not None:
             inputs = choice.inputs
             expected_s = inputs['queue_s'] + inputs['read_s']
-            state.note_first_token(took_s, expected_s / inputs['slowness'])
+            state.record_first_token(took_s, expected_s / inputs['slowness'])
 
     def finished(
         self,
@@ -296,15 +298,15 @@
             state = self._states.get(name)
             if state is not None:
                 state.load.finished(work.request_id, now_s)
-                state.note_try(failed, now_s)
+                state.record_attempt(failed, now_s)
         if failed:
             # Whatever was noted at the start may not be cached at all.
-            for hash_ in prefixes.sample(work.block_hashes).hashes:
+            for hash_ in prefixes.sample_hashes(work.block_hashes).hashes:
                 self.index.remove(hash_, choice.reader)
             return
         reader = self._states.get(choice.reader)
         if reader is not None:
-            reader.note_cached(cached_tokens, choice.indexed_tokens)
+            reader.record_cache_hits(cached_tokens, choice.indexed_tokens)
 
     def on_load(
         self,
@@ -319,7 +321,7 @@
         state.load.on_report(loadview.parse_report(report, now_s))
         role = report.get('role')
         if role and role != state.info.role:
-            state.role = role
+            state.reported_role = role
             state.info = state.info._replace(role=role)
             self._pools = {}
         serving = report.get('state', SERVING) == SERVING
@@ -344,7 +346,7 @@
         if state is None:
             return
         if gap:
-            state.gaps += 1
+            state.event_gaps += 1
         for event in events:
             stored = event['type'] == 'stored'
             for hash_ in event['hashes']:
--- a/gentianstair/entry/upstream_state.py
+++ b/gentianstair/entry/upstream_state.py
@@ -27,7 +27,7 @@
     concurrent: int = 64
 
 
-class FadingSum:
+class DecayingSum:
     """A sum in which old values fade, with a start that fades too."""
 
     def __init__(self) -> None:
@@ -38,44 +38,46 @@
         self.value = self.value * (1.0 - _FADE) + value
 
 
-class State:
+class UpstreamState:
     """What is known of one upstream."""
 
     def __init__(self, info: UpstreamInfo) -> None:
         self.info = info
         # The role the engine reports; orders change it, not the
         # configuration, which holds the one it began with.
-        self.role: str | None = None
-        self.load = loadview.LoadView()
+        self.reported_role: str | None = None
+        self.load = loadview.UpstreamLoad()
         # Observed times to the first token over the expected ones. Fading
         # sums, not a mean of ratios: one short prompt behind an unseen queue
         # takes 20 times as long as expected and says little.
-        self.took_s = FadingSum()
-        self.expected_s = FadingSum()
+        self.observed_s = DecayingSum()
+        self.expected_s = DecayingSum()
         self.slowness = 1.0
         # Share of predicted cached tokens that were found of late.
-        self.trust = 1.0
+        self.index_accuracy = 1.0
         # Share of tries that failed, as it was at a time.
         self._failing = 0.0
         self._failing_at_s = 0.0
         # Cache events lost, for metrics.
-        self.gaps = 0
+        self.event_gaps = 0
 
-    def note_first_token(self, took_s: float, expected_s: float) -> None:
+    def record_first_token(self, took_s: float, expected_s: float) -> None:
         """Compare the time to a first token with what was expected."""
-        self.took_s.add(took_s)
+        self.observed_s.add(took_s)
         self.expected_s.add(expected_s)
         low, high = _SLOWNESS_RANGE
-        ratio = self.took_s.value / self.expected_s.value
+        ratio = self.observed_s.value / self.expected_s.value
         self.slowness = min(max(ratio, low), high)
 
-    def note_cached(self, found_tokens: int, indexed_tokens: int) -> None:
+    def record_cache_hits(
+        self, found_tokens: int, indexed_tokens: int
+    ) -> None:
         """Compare the cached tokens found with what the index expected."""
         if indexed_tokens:
             found = min(found_tokens / indexed_tokens, 1.0)
-            self.trust = smooth(self.trust, found)
+            self.index_accuracy = smooth(self.index_accuracy, found)
 
-    def failing(self, now_s: float) -> float:
+    def failure_rate(self, now_s: float) -> float:
         """Return the share of tries that fail, as far as known.
 
         It fades, so that an upstream that is avoided is tried again.
@@ -85,9 +87,11 @@
         age_s = now_s - self._failing_at_s
         return self._failing * 0.5 ** (age_s / _FAILING_HALF_LIFE_S)
 
-    def note_try(self, failed: bool, now_s: float) -> None:
+    def record_attempt(self, failed: bool, now_s: float) -> None:
         """Count a try that ended."""
         self._failing = smooth(
-            self.failing(now_s), 1.0 if failed else 0.0, _FAILING_SMOOTHING
+            self.failure_rate(now_s),
+            1.0 if failed else 0.0,
+            _FAILING_SMOOTHING,
         )
         self._failing_at_s = now_s
--- a/test/entry/test_routing.py
+++ b/test/entry/test_routing.py
@@ -55,7 +55,7 @@
 def test_late_report_does_not_count_own_work_twice(
     started_s, reported, others
 ):
-    view = loadview.LoadView()
+    view = loadview.UpstreamLoad()
     view.started('r', 3000, started_s)
     view.on_report(loadview.parse_report(report(1, reported), 10.0))
     assert view.others_prefill_tokens == others
@@ -63,7 +63,7 @@
 
 
 def test_report_that_arrives_after_a_newer_one_is_ignored():
-    view = loadview.LoadView()
+    view = loadview.UpstreamLoad()
     view.on_report(loadview.parse_report(report(1, 100, 0.5), 10.0))
     view.on_report(loadview.parse_report(report(9, 900, 5.0), 10.1))
     assert view.others_prefill_tokens == 100
