--- a/gentianstair/entry/admission.py
+++ b/gentianstair/entry/admission.py
@@ -9,9 +9,9 @@
 import trio
 
 from gentianstair import errors
+from gentianstair.entry import admission_types
 from gentianstair.entry import fairness
 from gentianstair.entry import pool as pools
-from gentianstair.entry import waiting
 from gentianstair.entry import work as works
 from gentianstair.generated import messages
 from gentianstair.util import clock as clocks
@@ -25,10 +25,10 @@
 # Longest Retry-After; a longer line is not worth telling.
 MAX_RETRY_AFTER_S = 3600.0
 
-RecordDecision = collections.abc.Callable[[waiting.Decision], None]
+RecordDecision = collections.abc.Callable[[admission_types.Decision], None]
 
 
-def _log(decision: waiting.Decision) -> None:
+def _log(decision: admission_types.Decision) -> None:
     loguru.logger.bind(**decision._asdict()).debug('admission')
 
 
@@ -36,11 +36,13 @@
     """The right to run one request, and what it is charged."""
 
     def __init__(
-        self, waiter: waiting.Waiter, decision: waiting.Decision
+        self,
+        waiter: admission_types.Waiter,
+        decision: admission_types.Decision,
     ) -> None:
         self.work = waiter.work
         self.decision = decision
-        self.usage: waiting.Usage | None = None
+        self.usage: admission_types.Usage | None = None
 
     def charge(
         self, prompt_tokens: int, output_tokens: int, cached_tokens: int = 0
@@ -55,7 +57,7 @@
         cost = (
             fresh * weights.prompt_token + output_tokens * weights.output_token
         )
-        self.usage = waiting.Usage(fresh, output_tokens, cost)
+        self.usage = admission_types.Usage(fresh, output_tokens, cost)
 
 
 class Queue:
@@ -121,7 +123,7 @@
         """
         pool = self._pool(work.model)
         now_s = self._clock()
-        waiter = waiting.Waiter(work, next(self._order), now_s)
+        waiter = admission_types.Waiter(work, next(self._order), now_s)
         decision = pool.offer(waiter, now_s, returning)
         self._record(decision)
         if not decision.admitted:
@@ -225,7 +227,7 @@
         pool.drop_late(now_s)
 
 
-def _refusal(decision: waiting.Decision) -> errors.RequestError:
+def _refusal(decision: admission_types.Decision) -> errors.RequestError:
     retry_after_s = decision.retry_after_s
     if retry_after_s is not None:
         retry_after_s = min(retry_after_s, MAX_RETRY_AFTER_S)
--- a/gentianstair/entry/waiting.py
+++ b/gentianstair/entry/admission_types.py
@@ -32,7 +32,7 @@
 class Usage(typing.NamedTuple):
     """What an upstream says that a request used."""
 
-    fresh_tokens: int
+    uncached_tokens: int
     output_tokens: int
     cost: float
 
@@ -43,11 +43,11 @@
     def __init__(self, work: works.Work, order: int, now_s: float) -> None:
         self.work = work
         self.order = order
-        self.queued_s = now_s
+        self.queued_at_s = now_s
         self.cost = works.cost(work)
         # The time on a slot: the mean, and one that few requests exceed.
-        self.mean_s = 0.0
-        self.service_s = 0.0
+        self.mean_service_s = 0.0
+        self.safe_service_s = 0.0
         self.granted = trio.Event()
         self.running = False
         self.refusal: Decision | None = None
--- a/gentianstair/entry/estimates.py
+++ b/gentianstair/entry/estimates.py
@@ -2,8 +2,8 @@
 
 import typing
 
-from gentianstair.entry import loadview
-from gentianstair.entry import prefixes
+from gentianstair.entry import prefix_index
+from gentianstair.entry import upstream_load
 from gentianstair.entry import upstream_state
 from gentianstair.entry import work as works
 
@@ -79,7 +79,7 @@
 def _pressure_s(
     rates: Rates,
     state: upstream_state.UpstreamState,
-    load: loadview.Estimate,
+    load: upstream_load.Estimate,
     max_tokens: int,
 ) -> float:
     pressure_s = load.requests * rates.pressure_s * state.slowness
@@ -133,7 +133,9 @@
 
 
 def indexed_tokens(
-    index: prefixes.PrefixIndex, samples: prefixes.SampledHashes, name: str
+    index: prefix_index.PrefixIndex,
+    samples: prefix_index.SampledHashes,
+    name: str,
 ) -> int:
     """Return the tokens of a prompt that the index expects cached."""
     if not samples.hashes:
--- a/gentianstair/entry/main.py
+++ b/gentianstair/entry/main.py
@@ -14,6 +14,7 @@
 from gentianstair.config import view as views
 from gentianstair.core import grace
 from gentianstair.entry import admission
+from gentianstair.entry import admission_types
 from gentianstair.entry import app as apps
 from gentianstair.entry import claim_links
 from gentianstair.entry import claims
@@ -25,7 +26,6 @@
 from gentianstair.entry import sharing
 from gentianstair.entry import upkeep
 from gentianstair.entry import usage as usages
-from gentianstair.entry import waiting
 from gentianstair.generated import settings as generated
 from gentianstair.peers import node as peers
 from gentianstair.store import budget
@@ -76,7 +76,7 @@
     peer = peers.make_node(config, view, store, now)
     explanations = explain.make_explanations()
 
-    def record(decision: waiting.Decision) -> None:
+    def record(decision: admission_types.Decision) -> None:
         step = 'admitted' if decision.admitted else 'not-admitted'
         explanations.add(
             decision.request_id, decision.customer, step, **decision._asdict()
--- a/gentianstair/entry/pool.py
+++ b/gentianstair/entry/pool.py
@@ -3,10 +3,10 @@
 import collections
 import heapq
 
+from gentianstair.entry import admission_types
 from gentianstair.entry import fairness
-from gentianstair.entry import promises as promise_books
-from gentianstair.entry import speed as speeds
-from gentianstair.entry import waiting
+from gentianstair.entry import reservations
+from gentianstair.entry import service_times
 from gentianstair.entry import work as works
 from gentianstair.generated import messages
 
@@ -51,17 +51,17 @@
         self.slots = 0.0
         self._weight_of = weight_of
         self._fleet_slots = 0
-        self.speed = speeds.Speed()
+        self.speed = service_times.ServiceTimes()
         # Part of the slots in use; falls while requests do not finish.
         self.brake = 1.0
         self._mean_service_s = 0.0
         # Waiters by customer, each line ordered by rank.
         self._lines: dict[
-            str, list[tuple[tuple[int, int], waiting.Waiter]]
+            str, list[tuple[tuple[int, int], admission_types.Waiter]]
         ] = {}
         self._line_cost: dict[str, float] = {}
         self._demand: dict[str, fairness.DecayingRate] = {}
-        self._promises: dict[str, promise_books.Book] = {}
+        self._promises: dict[str, reservations.Reservations] = {}
         self._peer_rows: dict[str, dict[str, messages.ServiceRow]] = {}
 
     def set_capacity(self, slots: int, cost_per_s: float) -> None:
@@ -69,7 +69,7 @@
         self._fleet_slots = slots
         if cost_per_s > 0.0 and slots > 0:
             weight = works.DEFAULT_WEIGHTS.output_token
-            self.speed.expect(cost_per_s / slots, weight)
+            self.speed.set_initial_speed(cost_per_s / slots, weight)
 
     def waiting_count(self) -> int:
         """Return how many requests wait."""
@@ -81,22 +81,28 @@
     def _slot_cost_per_s(self) -> float:
         return self.speed.slot_cost_per_s(FIRST_SLOT_COST_PER_S)
 
-    def _estimate(self, waiter: waiting.Waiter) -> None:
+    def _estimate(self, waiter: admission_types.Waiter) -> None:
         """Set the cost and the time on a slot that are to be expected."""
         work = waiter.work
-        output = self.speed.output_tokens(work.customer, work.max_tokens)
+        output = self.speed.expected_output_tokens(
+            work.customer, work.max_tokens
+        )
         weights = works.DEFAULT_WEIGHTS
         waiter.cost = (
             work.prompt_tokens * weights.prompt_token
             + output * weights.output_token
         )
-        waiter.mean_s = self.speed.service_s(work.prompt_tokens, output)
-        waiter.service_s = waiter.mean_s * self.speed.safe_factor()
+        waiter.mean_service_s = self.speed.service_s(
+            work.prompt_tokens, output
+        )
+        waiter.safe_service_s = (
+            waiter.mean_service_s * self.speed.safety_factor()
+        )
 
-    def latest_start_s(self, waiter: waiting.Waiter) -> float:
+    def latest_start_s(self, waiter: admission_types.Waiter) -> float:
         """Return the time after which the deadline cannot be met."""
-        latest_s = waiter.work.deadline_s - waiter.service_s
-        return max(latest_s, waiter.queued_s)
+        latest_s = waiter.work.deadline_s - waiter.safe_service_s
+        return max(latest_s, waiter.queued_at_s)
 
     def customer_cost_per_s(self, customer: str) -> float:
         """Return the part of this VM's speed that a customer is sure of."""
@@ -108,7 +114,7 @@
         speed = slots * self._slot_cost_per_s
         return speed * weight / (weight + others)
 
-    def _ahead_cost(self, waiter: waiting.Waiter) -> float:
+    def _ahead_cost(self, waiter: admission_types.Waiter) -> float:
         """Return the cost in the customer's line before the waiter."""
         line = self._lines.get(waiter.work.customer, [])
         if not line or waiter.work.priority == 0:
@@ -129,8 +135,11 @@
     # Entering and leaving.
 
     def offer(
-        self, waiter: waiting.Waiter, now_s: float, returning: bool = False
-    ) -> waiting.Decision:
+        self,
+        waiter: admission_types.Waiter,
+        now_s: float,
+        returning: bool = False,
+    ) -> admission_types.Decision:
         """Queue the waiter, or refuse it; grant slots that are free.
 
         A returning caller is not held up by promises to others. Marking
@@ -140,16 +149,18 @@
         work = waiter.work
         self._estimate(waiter)
         self._note_demand(work.customer, waiter.cost, now_s)
-        book = self._promises.setdefault(work.customer, promise_books.Book())
+        book = self._promises.setdefault(
+            work.customer, reservations.Reservations()
+        )
         kept = book.redeem(now_s) or returning
         left_s = work.deadline_s - now_s
-        patience_s = max(0.0, left_s - waiter.service_s)
+        patience_s = max(0.0, left_s - waiter.safe_service_s)
         ahead = self._ahead_cost(waiter)
         promised = 0.0
         allowed_s = patience_s
-        book.marks = book.marks or returning
+        book.callers_mark_returns = book.callers_mark_returns or returning
         if not kept and book.total_cost(now_s) > 0.0:
-            if book.marks:
+            if book.callers_mark_returns:
                 # The line must leave room for those told to return. Where
                 # callers do not mark their return this would hit them too.
                 allowed_s *= PROMISE_SLACK
@@ -172,7 +183,7 @@
 
     def _judge(
         self,
-        waiter: waiting.Waiter,
+        waiter: admission_types.Waiter,
         wait_s: float,
         allowed_s: float,
         now_s: float,
@@ -187,7 +198,7 @@
         others = [name for name in self._lines if name != customer]
         return 'over-share' if others else 'busy'
 
-    def _too_short(self, waiter: waiting.Waiter, now_s: float) -> bool:
+    def _too_short(self, waiter: admission_types.Waiter, now_s: float) -> bool:
         """Return whether even an idle fleet would be too late.
 
         max_tokens is often far above what is used, so this needs recent
@@ -200,33 +211,33 @@
             return True
         if self._free() and not self._lines:
             return False
-        certain = self.speed.certain(waiter.work.customer, now_s)
-        return certain and waiter.mean_s > left_s
+        certain = self.speed.knows_output_share(waiter.work.customer, now_s)
+        return certain and waiter.mean_service_s > left_s
 
     def _promise(
-        self, waiter: waiting.Waiter, patience_s: float, now_s: float
+        self, waiter: admission_types.Waiter, patience_s: float, now_s: float
     ) -> float:
         """Return when to come back, and keep the place for then."""
         customer = waiter.work.customer
-        book = self._promises.setdefault(customer, promise_books.Book())
+        book = self._promises.setdefault(customer, reservations.Reservations())
         ahead = self._line_cost.get(customer, 0.0) + book.total_cost(now_s)
         wait_s = self._wait_s(customer, ahead + waiter.cost)
         delay_s = max(1.0, wait_s - PROMISE_SLACK * max(0.0, patience_s))
-        book.promise(now_s + delay_s, waiter.cost, patience_s)
+        book.reserve(now_s + delay_s, waiter.cost, patience_s)
         return delay_s
 
     def _decision(
         self,
-        waiter: waiting.Waiter,
+        waiter: admission_types.Waiter,
         reason: str,
         ahead_cost: float,
         promised_cost: float,
         wait_s: float,
         left_s: float,
         retry_after_s: float | None,
-    ) -> waiting.Decision:
+    ) -> admission_types.Decision:
         work = waiter.work
-        return waiting.Decision(
+        return admission_types.Decision(
             request_id=work.request_id,
             customer=work.customer,
             model=work.model,
@@ -241,12 +252,12 @@
             running=self.running_count,
             backlogged_customers=len(self._lines),
             wait_s=wait_s,
-            service_s=waiter.service_s,
+            service_s=waiter.safe_service_s,
             left_s=left_s,
             retry_after_s=retry_after_s,
         )
 
-    def _enter(self, waiter: waiting.Waiter) -> None:
+    def _enter(self, waiter: admission_types.Waiter) -> None:
         customer = waiter.work.customer
         if customer not in self._lines:
             if not self._waits_at_peers[customer]:
@@ -271,14 +282,14 @@
         """Return the customers that wait anywhere, as far as known."""
         return set(self._lines) | set(+self._waits_at_peers)
 
-    def _remove(self, waiter: waiting.Waiter) -> None:
+    def _remove(self, waiter: admission_types.Waiter) -> None:
         customer = waiter.work.customer
         line = self._lines[customer]
         line.remove((waiter.rank, waiter))
         heapq.heapify(line)
         self._taken(customer, waiter)
 
-    def _taken(self, customer: str, waiter: waiting.Waiter) -> None:
+    def _taken(self, customer: str, waiter: admission_types.Waiter) -> None:
         self._line_cost[customer] -= waiter.cost
         if not self._lines[customer]:
             del self._lines[customer]
@@ -298,11 +309,11 @@
             waiter.granted.set()
 
     def give_up(
-        self, waiter: waiting.Waiter, now_s: float
-    ) -> waiting.Decision:
+        self, waiter: admission_types.Waiter, now_s: float
+    ) -> admission_types.Decision:
         """Refuse a waiter whose deadline can no longer be met."""
         left_s = waiter.work.deadline_s - now_s
-        patience_s = waiter.work.deadline_s - waiter.queued_s
+        patience_s = waiter.work.deadline_s - waiter.queued_at_s
         retry_after_s = self._promise(waiter, patience_s, now_s)
         ahead = self._ahead_cost(waiter)
         wait_s = self._wait_s(waiter.work.customer, ahead)
@@ -312,8 +323,8 @@
 
     def leave(
         self,
-        waiter: waiting.Waiter,
-        usage: waiting.Usage | None,
+        waiter: admission_types.Waiter,
+        usage: admission_types.Usage | None,
         started_s: float | None,
         now_s: float,
     ) -> None:
@@ -333,7 +344,7 @@
         elif usage is not None:
             self.counters.charge(customer, usage.cost - waiter.cost)
             self._learn(waiter, usage, now_s - started_s, now_s)
-        elif now_s - started_s > waiter.mean_s:
+        elif now_s - started_s > waiter.mean_service_s:
             # Cut off by its deadline, a failure or its caller, it had
             # already run longer than expected. Learning only from what
             # ends in time, a slow fleet would look fast.
@@ -344,8 +355,8 @@
 
     def _learn(
         self,
-        waiter: waiting.Waiter,
-        usage: waiting.Usage,
+        waiter: admission_types.Waiter,
+        usage: admission_types.Usage,
         took_s: float,
         now_s: float,
     ) -> None:
@@ -354,16 +365,20 @@
         if took_s <= 0.0:
             return
         self.speed.learn(
-            usage.fresh_tokens, usage.output_tokens, usage.cost, took_s
+            usage.uncached_tokens, usage.output_tokens, usage.cost, took_s
         )
         used = usage.output_tokens / max(1, work.max_tokens)
-        self.speed.learn_used(work.customer, min(used, 1.0), now_s)
+        self.speed.learn_output_share(work.customer, min(used, 1.0), now_s)
         self._mean_service_s += NEWEST * (took_s - self._mean_service_s)
 
-    def _learn_unfinished(self, waiter: waiting.Waiter, took_s: float) -> None:
+    def _learn_unfinished(
+        self, waiter: admission_types.Waiter, took_s: float
+    ) -> None:
         work = waiter.work
         self.brake = max(LEAST_BRAKE, self.brake * BRAKE_DOWN)
-        output = self.speed.output_tokens(work.customer, work.max_tokens)
+        output = self.speed.expected_output_tokens(
+            work.customer, work.max_tokens
+        )
         self.speed.learn(work.prompt_tokens, output, waiter.cost, took_s)
 
     def drop_late(self, now_s: float) -> None:
--- a/gentianstair/entry/promises.py
+++ b/gentianstair/entry/reservations.py
@@ -7,10 +7,10 @@
 GRACE_SHARE = 0.25
 GRACE_S = 2.0
 # Most promises kept for one customer; beyond it the time is a guess.
-MOST_KEPT = 2000
+MAX_RESERVATIONS = 2000
 
 
-class Book:
+class Reservations:
     """The promises made to one customer's callers.
 
     A caller that returns cannot be told from a fresh one, so each arrival
@@ -24,15 +24,15 @@
         self._kept: list[tuple[float, float, float]] = []
         self._total_cost = 0.0
         # Whether this customer's callers mark their returns.
-        self.marks = False
+        self.callers_mark_returns = False
 
     def _expire(self, now_s: float) -> None:
         while self._kept and self._kept[0][2] <= now_s:
             self._total_cost -= heapq.heappop(self._kept)[1]
 
-    def promise(self, due_s: float, cost: float, patience_s: float) -> None:
+    def reserve(self, due_s: float, cost: float, patience_s: float) -> None:
         """Keep a place for a caller that returns at due_s."""
-        if len(self._kept) >= MOST_KEPT:
+        if len(self._kept) >= MAX_RESERVATIONS:
             return
         grace_s = GRACE_S + GRACE_SHARE * max(0.0, patience_s)
         heapq.heappush(self._kept, (due_s, cost, due_s + grace_s))
--- a/gentianstair/entry/routing.py
+++ b/gentianstair/entry/routing.py
@@ -4,9 +4,9 @@
 import typing
 
 from gentianstair.entry import estimates
-from gentianstair.entry import loadview
-from gentianstair.entry import prefixes
+from gentianstair.entry import prefix_index
 from gentianstair.entry import ring
+from gentianstair.entry import upstream_load
 from gentianstair.entry import upstream_state
 from gentianstair.entry import work as works
 
@@ -83,7 +83,7 @@
         self.failure_domain = failure_domain
         self.rates = rates
         self.split = split
-        self.index = prefixes.PrefixIndex()
+        self.index = prefix_index.PrefixIndex()
         self._random = random.Random(f'{vm_name}/{seed}')
         self._states: dict[str, upstream_state.UpstreamState] = {}
         self._pools: dict[str, _Pool] = {}
@@ -139,7 +139,7 @@
     def _candidates(
         self,
         pool: _Pool,
-        samples: prefixes.SampledHashes,
+        samples: prefix_index.SampledHashes,
         exclude: frozenset[str],
     ) -> list[str]:
         found = dict.fromkeys(self._sample(pool.direct, exclude))
@@ -163,7 +163,7 @@
         """Return where to send a request, or None if nowhere."""
         pool = self._pool(work.model)
         exclude = exclude | self._away
-        samples = prefixes.sample_hashes(work.block_hashes)
+        samples = prefix_index.sample_hashes(work.block_hashes)
         names = self._candidates(pool, samples, exclude)
         found = self._best(names, work, samples, now_s)
         if found is None:
@@ -187,7 +187,7 @@
         self,
         pool: _Pool,
         work: works.Work,
-        samples: prefixes.SampledHashes,
+        samples: prefix_index.SampledHashes,
         now_s: float,
         exclude: frozenset[str],
     ) -> Choice | None:
@@ -225,7 +225,7 @@
         self,
         names: typing.Iterable[str],
         work: works.Work,
-        samples: prefixes.SampledHashes,
+        samples: prefix_index.SampledHashes,
         now_s: float,
     ) -> tuple[str, estimates.Estimate] | None:
         best = None
@@ -263,7 +263,7 @@
             maker.load.started(work.request_id, 0, now_s)
         # It will be cached by the time that others of its kind arrive; the
         # engine's answer corrects this.
-        for hash_ in prefixes.sample_hashes(work.block_hashes).hashes:
+        for hash_ in prefix_index.sample_hashes(work.block_hashes).hashes:
             self.index.add(hash_, choice.reader)
 
     def first_token(
@@ -301,7 +301,7 @@
                 state.record_attempt(failed, now_s)
         if failed:
             # Whatever was noted at the start may not be cached at all.
-            for hash_ in prefixes.sample_hashes(work.block_hashes).hashes:
+            for hash_ in prefix_index.sample_hashes(work.block_hashes).hashes:
                 self.index.remove(hash_, choice.reader)
             return
         reader = self._states.get(choice.reader)
@@ -318,7 +318,7 @@
         state = self._states.get(upstream)
         if state is None:
             return
-        state.load.on_report(loadview.parse_report(report, now_s))
+        state.load.on_report(upstream_load.parse_report(report, now_s))
         role = report.get('role')
         if role and role != state.info.role:
             state.reported_role = role
@@ -350,7 +350,7 @@
         for event in events:
             stored = event['type'] == 'stored'
             for hash_ in event['hashes']:
-                if hash_ & prefixes.SAMPLE_MASK:
+                if hash_ & prefix_index.SAMPLE_MASK:
                     continue
                 if stored:
                     self.index.add(hash_, upstream)
--- a/gentianstair/entry/upstream_state.py
+++ b/gentianstair/entry/upstream_state.py
@@ -2,7 +2,7 @@
 
 import typing
 
-from gentianstair.entry import loadview
+from gentianstair.entry import upstream_load
 
 _SMOOTHING = 0.1
 _FAILING_SMOOTHING = 0.4
@@ -46,7 +46,7 @@
         # The role the engine reports; orders change it, not the
         # configuration, which holds the one it began with.
         self.reported_role: str | None = None
-        self.load = loadview.UpstreamLoad()
+        self.load = upstream_load.UpstreamLoad()
         # Observed times to the first token over the expected ones. Fading
         # sums, not a mean of ratios: one short prompt behind an unseen queue
         # takes 20 times as long as expected and says little.
--- a/test/entry/test_routing.py
+++ b/test/entry/test_routing.py
@@ -5,8 +5,8 @@
 import pytest
 
 from gentianstair.bench import baselines
-from gentianstair.entry import loadview
 from gentianstair.entry import routing
+from gentianstair.entry import upstream_load
 from gentianstair.entry import work as works
 
 NONE: frozenset[str] = frozenset()
@@ -55,17 +55,17 @@
 def test_late_report_does_not_count_own_work_twice(
     started_s, reported, others
 ):
-    view = loadview.UpstreamLoad()
+    view = upstream_load.UpstreamLoad()
     view.started('r', 3000, started_s)
-    view.on_report(loadview.parse_report(report(1, reported), 10.0))
+    view.on_report(upstream_load.parse_report(report(1, reported), 10.0))
     assert view.others_prefill_tokens == others
     assert view.estimate(10.0).prefill_tokens == 3000 + others
 
 
 def test_report_that_arrives_after_a_newer_one_is_ignored():
-    view = loadview.UpstreamLoad()
-    view.on_report(loadview.parse_report(report(1, 100, 0.5), 10.0))
-    view.on_report(loadview.parse_report(report(9, 900, 5.0), 10.1))
+    view = upstream_load.UpstreamLoad()
+    view.on_report(upstream_load.parse_report(report(1, 100, 0.5), 10.0))
+    view.on_report(upstream_load.parse_report(report(9, 900, 5.0), 10.1))
     assert view.others_prefill_tokens == 100
 
 
--- a/test/entry/test_speed.py
+++ b/test/entry/test_service_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gentianstair.entry import speed
+from gentianstair.entry import service_times
 
 
 @pytest.mark.parametrize(
@@ -17,7 +17,7 @@
     # 20,000 tokens looks like ten minutes of work and is refused as late;
     # and all engines may get slower while it learns.
     rng = random.Random(1)
-    learned = speed.Speed()
+    learned = service_times.ServiceTimes()
 
     def finish(factor):
         prompt = rng.randint(20, 400)
