--- a/gentianstair/bench/fleet.py
+++ b/gentianstair/bench/fleet.py
@@ -142,7 +142,7 @@
         )
         if choice.prefill_upstream:
             first = request._replace(max_tokens=1)
-        sequence = self.engines[choice.reader].submit(first)
+        sequence = self.engines[choice.prefilled_by].submit(first)
         with trio.move_on_after(self.give_up_s):
             await sequence.wait_past(0)
         if not sequence.produced:
@@ -197,7 +197,7 @@
         self, choice: routing.Choice, request: model.Request
     ) -> model.Sequence:
         """Move the KV of a prompt that was read, and go on with output."""
-        source = self.engines[choice.reader]
+        source = self.engines[choice.prefilled_by]
         target = self.engines[choice.upstream]
         # The first token is made already; the rest goes on from it.
         rest = request._replace(
--- a/gentianstair/entry/estimates.py
+++ b/gentianstair/entry/estimates.py
@@ -1,4 +1,4 @@
-"""Estimate what a request would take at an upstream."""
+"""Estimate what serving a request at an upstream would cost in time."""
 
 import typing
 
@@ -8,45 +8,57 @@
 from gentianstair.entry import work as works
 
 
-class Rates(typing.NamedTuple):
-    """What an engine's work is expected to cost, until observed."""
+class CostModel(typing.NamedTuple):
+    """The times that an engine of normal speed is expected to take.
+
+    A step of the engine takes ``base_step_s``, ``sequence_step_s`` for each
+    running sequence and ``prefill_token_s`` for each prompt token in it.
+    """
 
     prefill_token_s: float = 0.0001
-    step_s: float = 0.012
-    decode_s: float = 0.0005
-    # Most prompt tokens a step takes, by role.
+    base_step_s: float = 0.012
+    sequence_step_s: float = 0.0005
+    # Largest prefill chunk in one step, by role.
     mixed_chunk_tokens: int = 512
     prefill_chunk_tokens: int = 2048
     decode_chunk_tokens: int = 64
-    # Way to an upstream in another failure domain and back.
-    distance_s: float = 0.002
-    # What a request costs in time that then fails.
-    failure_s: float = 2.0
-    # What running work costs others: each more sequence delays all.
-    pressure_s: float = 0.006
-    # Moving the KV of a prompt to another engine.
-    transfer_s: float = 0.006
-    transfer_token_s: float = 0.0000135
-    # How much a second of another's delayed output weighs against a second
-    # of this request's own wait.
-    interference: float = 0.2
+    # Round trip to an upstream in another failure domain.
+    cross_domain_s: float = 0.002
+    # Time lost on an attempt that fails.
+    failed_attempt_s: float = 2.0
+    # Delay of a new request for each sequence that already runs.
+    sequence_delay_s: float = 0.006
+    # Transfer of a prompt's KV cache to another engine: fixed part and part
+    # for each token.
+    kv_transfer_s: float = 0.006
+    kv_transfer_token_s: float = 0.0000135
+    # Weight of a second by which other requests are delayed, against a
+    # second that this request waits.
+    interference_weight: float = 0.2
 
 
 class Estimate(typing.NamedTuple):
-    """What a request would meet at an upstream; see ``total_s``.
-
-    ``interference_s`` is what its prompt would cost the outputs of others.
-    """
+    """What a request would take at an upstream; see ``total_s``."""
 
+    # Prefill of the prompts that are queued there already.
     queue_s: float
+    # Prefill of the request's own prompt.
     read_s: float
+    # Delay by the sequences that run there, or that wait for KV memory.
     pressure_s: float
+    # Round trip, if the upstream is in another failure domain.
     distance_s: float
+    # Expected loss by attempts that fail.
     failing_s: float
+    # Weighted delay of other requests' output by this prefill.
     interference_s: float
+    # Prompt tokens to prefill: those not in ``cached_tokens``.
     unread_tokens: int
+    # Prompt tokens expected in the cache, by how accurate the index was.
     cached_tokens: int
+    # Prompt tokens that the index holds as cached.
     indexed_tokens: int
+    # Observed time to first token over the expected one.
     slowness: float
     report_age_s: float
 
@@ -64,62 +76,62 @@
 
     @property
     def before_decode_s(self) -> float:
-        """Return the score of only reading the prompt there."""
+        """Return the score of running only the prefill there."""
         return self.queue_s + self.read_s + self.distance_s + self.failing_s
 
 
-def _chunk_tokens(rates: Rates, role: str) -> int:
+def _chunk_tokens(costs: CostModel, role: str) -> int:
     if role == 'mixed':
-        return rates.mixed_chunk_tokens
+        return costs.mixed_chunk_tokens
     if role == 'prefill':
-        return rates.prefill_chunk_tokens
-    return rates.decode_chunk_tokens
+        return costs.prefill_chunk_tokens
+    return costs.decode_chunk_tokens
 
 
 def _pressure_s(
-    rates: Rates,
+    costs: CostModel,
     state: upstream_state.UpstreamState,
     load: upstream_load.Estimate,
     max_tokens: int,
 ) -> float:
-    pressure_s = load.requests * rates.pressure_s * state.slowness
+    pressure_s = load.requests * costs.sequence_delay_s * state.slowness
     slots = min(load.slots, state.info.concurrent)
-    over = load.requests + 1 - slots
-    if over > 0:
-        # Its turn comes when sequences end: tokens left, shared out.
-        step_s = rates.step_s + load.requests * rates.decode_s
-        pressure_s += over * max_tokens * step_s / slots
+    excess = load.requests + 1 - slots
+    if excess > 0:
+        # The request waits for running sequences to end and free a slot.
+        step_s = costs.base_step_s + load.requests * costs.sequence_step_s
+        pressure_s += excess * max_tokens * step_s / slots
     return pressure_s
 
 
 def estimate(
-    rates: Rates,
+    costs: CostModel,
     state: upstream_state.UpstreamState,
     work: works.Work,
     indexed_tokens: int,
-    far: bool,
+    cross_domain: bool,
     now_s: float,
 ) -> Estimate:
-    """Return what a request would meet at an upstream."""
+    """Return what a request would take at an upstream."""
     load = state.load.estimate(now_s)
     cached = int(indexed_tokens * state.index_accuracy)
-    unread = max(work.prompt_tokens - cached, 1)
-    # A step reads one chunk and serves all sequences besides.
-    step_s = rates.step_s + load.requests * rates.decode_s
-    chunk = _chunk_tokens(rates, state.info.role)
-    token_s = (rates.prefill_token_s + step_s / chunk) * state.slowness
-    # As many tries fail before one succeeds. A fixed cost would be less
-    # than the queue of a busy upstream, and all would go to a dead one.
-    failing = state.failure_rate(now_s)
-    delayed_s = unread * rates.prefill_token_s * load.requests
+    uncached = max(work.prompt_tokens - cached, 1)
+    # Each step prefills one chunk and decodes a token of every sequence.
+    step_s = costs.base_step_s + load.requests * costs.sequence_step_s
+    chunk = _chunk_tokens(costs, state.info.role)
+    token_s = (costs.prefill_token_s + step_s / chunk) * state.slowness
+    # The expected number of failures before a success is p / (1 - p). With a
+    # fixed penalty, a dead upstream would score better than a busy one.
+    failure_rate = state.failure_rate(now_s)
+    delayed_s = uncached * costs.prefill_token_s * load.requests
     return Estimate(
         load.prefill_tokens * token_s,
-        unread * token_s,
-        _pressure_s(rates, state, load, work.max_tokens),
-        rates.distance_s if far else 0.0,
-        rates.failure_s * failing / (1.0 - failing + 0.01),
-        delayed_s * rates.interference,
-        unread,
+        uncached * token_s,
+        _pressure_s(costs, state, load, work.max_tokens),
+        costs.cross_domain_s if cross_domain else 0.0,
+        costs.failed_attempt_s * failure_rate / (1.0 - failure_rate + 0.01),
+        delayed_s * costs.interference_weight,
+        uncached,
         cached,
         indexed_tokens,
         state.slowness,
@@ -127,9 +139,9 @@
     )
 
 
-def transfer_s(rates: Rates, tokens: int) -> float:
-    """Return how long the KV of so many tokens takes to another engine."""
-    return rates.transfer_s + tokens * rates.transfer_token_s
+def kv_transfer_s(costs: CostModel, tokens: int) -> float:
+    """Return how long it takes to move the KV cache of a prompt."""
+    return costs.kv_transfer_s + tokens * costs.kv_transfer_token_s
 
 
 def indexed_tokens(
@@ -137,7 +149,7 @@
     samples: prefix_index.SampledHashes,
     name: str,
 ) -> int:
-    """Return the tokens of a prompt that the index expects cached."""
+    """Return the prompt tokens that the index holds as cached there."""
     if not samples.hashes:
         return 0
     depth = index.cached_depth(samples.hashes, name)
--- a/gentianstair/entry/routing.py
+++ b/gentianstair/entry/routing.py
@@ -1,4 +1,4 @@
-"""Choose the upstream of a request from late and partial knowledge."""
+"""Choose the upstream of a request by estimated time to serve it."""
 
 import random
 import typing
@@ -10,41 +10,44 @@
 from gentianstair.entry import upstream_state
 from gentianstair.entry import work as works
 
-__all__ = ['Choice', 'Rates', 'Router', 'UpstreamInfo', 'make_router']
+__all__ = ['Choice', 'CostModel', 'Router', 'UpstreamInfo', 'make_router']
 
-Rates = estimates.Rates
+CostModel = estimates.CostModel
 UpstreamInfo = upstream_state.UpstreamInfo
 
-# An entry process samples from at most this many upstreams a model, so that
-# it holds few connections and reads few load reports in a large fleet.
-SUBSET = 64
-# Candidates of one decision.
-SAMPLED = 2
-HOMES = 2
-HOLDERS = 2
-# Shorter prompts are read where their output is made.
-SPLIT_MIN_TOKENS = 256
+# Upstreams of one model that an entry process uses. It bounds connections
+# and load reports in a large fleet.
+MAX_SUBSET = 64
+# Candidates of one decision: upstreams sampled at random, homes of the
+# prompt's prefix on the hash ring, and upstreams known to have it cached.
+SAMPLE_SIZE = 2
+MAX_HOMES = 2
+MAX_HOLDERS = 2
+# Uncached prompt tokens from which a separate prefill is considered.
+MIN_SPLIT_TOKENS = 256
 SERVING = 'serving'
 
 
 class Choice(typing.NamedTuple):
-    """A decision; ``inputs`` are the figures it was made from.
+    """A routing decision; ``inputs`` holds the parts of its score.
 
-    With a ``prefill_upstream`` the prompt is to be read there, and its KV
-    moved to ``upstream``, which makes the output after the first token.
+    With a ``prefill_upstream`` the prefill runs there; then the KV cache is
+    moved to ``upstream``, which decodes from the second token on.
     """
 
     upstream: str
+    # Estimated time in seconds, the lowest of all candidates.
     score: float
     inputs: dict[str, float]
+    # Prompt tokens that are expected not to be cached.
     prefill_tokens: int = 0
-    # Cached tokens that the index expects, before any distrust.
+    # Prompt tokens that the prefix index holds as cached.
     indexed_tokens: int = 0
     prefill_upstream: str | None = None
 
     @property
-    def reader(self) -> str:
-        """Return the upstream that reads the prompt."""
+    def prefilled_by(self) -> str:
+        """Return the upstream that runs the prefill."""
         return self.prefill_upstream or self.upstream
 
 
@@ -52,48 +55,49 @@
     """The upstreams of one model that this process uses."""
 
     subset: list[str]
-    # Those that make output, and those that only read prompts.
-    direct: list[str]
-    readers: list[str]
+    # Upstreams of the subset that decode, and those that only prefill.
+    decoders: list[str]
+    prefillers: list[str]
+    # Hash ring of the decoders.
     ring: ring.Ring
 
 
 def _make_pool(vm_name: str, infos: list[UpstreamInfo]) -> _Pool:
     roles = {info.name: info.role for info in infos}
-    subset = ring.rendezvous(vm_name, roles, SUBSET)
-    readers = [name for name in subset if roles[name] == 'prefill']
-    direct = [name for name in subset if roles[name] != 'prefill']
-    # Engines with the wrong role are better than none.
-    direct = direct or readers
-    return _Pool(subset, direct, readers, ring.Ring(direct))
+    subset = ring.rendezvous(vm_name, roles, MAX_SUBSET)
+    prefillers = [name for name in subset if roles[name] == 'prefill']
+    decoders = [name for name in subset if roles[name] != 'prefill']
+    # With no decoder at all, prefill engines serve whole requests.
+    decoders = decoders or prefillers
+    return _Pool(subset, decoders, prefillers, ring.Ring(decoders))
 
 
 class Router:
-    """Choose upstreams; every entry process has one of its own."""
+    """Chooses upstreams for the requests of one entry process."""
 
     def __init__(
         self,
         vm_name: str,
         failure_domain: str,
         seed: int,
-        rates: Rates,
+        cost_model: CostModel,
         split: bool,
     ) -> None:
         self.vm_name = vm_name
         self.failure_domain = failure_domain
-        self.rates = rates
+        self.cost_model = cost_model
         self.split = split
         self.index = prefix_index.PrefixIndex()
         self._random = random.Random(f'{vm_name}/{seed}')
         self._states: dict[str, upstream_state.UpstreamState] = {}
         self._pools: dict[str, _Pool] = {}
-        # Upstreams that say they take no work. One that changes its role or
-        # drains has nothing running: by its load it is the best of all, and
-        # every request to it would first be refused.
-        self._away: frozenset[str] = frozenset()
+        # Upstreams that report that they accept no work, such as those that
+        # drain or change their role. They are idle, so the score alone would
+        # send them every request.
+        self._unavailable: frozenset[str] = frozenset()
 
     def set_upstreams(self, infos: typing.Iterable[UpstreamInfo]) -> None:
-        """Take the upstreams in force; keep what is known of old ones."""
+        """Replace the upstreams; keep the state of those that remain."""
         states = {}
         for info in infos:
             state = self._states.get(
@@ -103,7 +107,7 @@
             states[info.name] = state
         self._states = states
         self._pools = {}
-        self._away &= states.keys()
+        self._unavailable &= states.keys()
 
     def _pool(self, model: str) -> _Pool:
         pool = self._pools.get(model)
@@ -118,23 +122,23 @@
         return pool
 
     def subset(self, model: str) -> list[str]:
-        """Return the upstreams whose load reports are worth reading."""
+        """Return the upstreams of a model that this process uses."""
         return self._pool(model).subset
 
     def _sample(self, names: list[str], exclude: frozenset[str]) -> list[str]:
-        """Return two names by chance, which keeps entries from herding.
+        """Return up to SAMPLE_SIZE random names that are not excluded.
 
-        Eight entries that each took the best of the same late report would
-        all send to one upstream until the next report.
+        If every entry process chose the best upstream of the same stale
+        report, all would send to that one until the next report.
         """
-        if len(names) > SAMPLED:
-            found = self._random.sample(names, SAMPLED)
-            if exclude.isdisjoint(found):
-                return found
+        if len(names) > SAMPLE_SIZE:
+            sampled = self._random.sample(names, SAMPLE_SIZE)
+            if exclude.isdisjoint(sampled):
+                return sampled
         allowed = [name for name in names if name not in exclude]
-        if len(allowed) <= SAMPLED:
+        if len(allowed) <= SAMPLE_SIZE:
             return allowed
-        return self._random.sample(allowed, SAMPLED)
+        return self._random.sample(allowed, SAMPLE_SIZE)
 
     def _candidates(
         self,
@@ -142,33 +146,33 @@
         samples: prefix_index.SampledHashes,
         exclude: frozenset[str],
     ) -> list[str]:
-        found = dict.fromkeys(self._sample(pool.direct, exclude))
+        names = dict.fromkeys(self._sample(pool.decoders, exclude))
         hashes = samples.hashes
         if hashes:
-            known = self.index.known_depth(hashes)
-            # Entries agree on the home of a prefix without a message, so
-            # they do not each fill another engine's cache with it.
-            key = hashes[known - 1] if known else hashes[0]
-            found.update(dict.fromkeys(pool.ring.homes(key, HOMES)))
-            if known:
-                holders = list(self.index.holders(key))[-HOLDERS:]
-                found.update(
-                    (name, None) for name in holders if name in pool.direct
+            depth = self.index.known_depth(hashes)
+            # All entry processes compute the same homes of a prefix, so it
+            # is cached on few engines without any coordination.
+            key = hashes[depth - 1] if depth else hashes[0]
+            names.update(dict.fromkeys(pool.ring.homes(key, MAX_HOMES)))
+            if depth:
+                holders = list(self.index.holders(key))[-MAX_HOLDERS:]
+                names.update(
+                    (name, None) for name in holders if name in pool.decoders
                 )
-        return [name for name in found if name not in exclude]
+        return [name for name in names if name not in exclude]
 
     def choose(
         self, work: works.Work, now_s: float, exclude: frozenset[str]
     ) -> Choice | None:
-        """Return where to send a request, or None if nowhere."""
+        """Return where to send a request, or None if no upstream is left."""
         pool = self._pool(work.model)
-        exclude = exclude | self._away
+        exclude = exclude | self._unavailable
         samples = prefix_index.sample_hashes(work.block_hashes)
         names = self._candidates(pool, samples, exclude)
-        found = self._best(names, work, samples, now_s)
-        if found is None:
+        cheapest = self._best(names, work, samples, now_s)
+        if cheapest is None:
             return None
-        name, best = found
+        name, best = cheapest
         choice = Choice(
             name,
             best.total_s,
@@ -176,7 +180,7 @@
             best.unread_tokens,
             best.indexed_tokens,
         )
-        if not self.split or best.unread_tokens < SPLIT_MIN_TOKENS:
+        if not self.split or best.unread_tokens < MIN_SPLIT_TOKENS:
             return choice
         split = self._choose_split(pool, work, samples, now_s, exclude)
         if split is not None and split.score < choice.score:
@@ -191,34 +195,36 @@
         now_s: float,
         exclude: frozenset[str],
     ) -> Choice | None:
-        """Return the best way with a KV transfer, if there is one.
+        """Return the best choice with a separate prefill upstream, if any.
 
-        It pays when reading elsewhere and moving the KV is quicker than
-        reading at the side of other sequences and delaying them.
+        It pays off if the KV transfer takes less time than a prefill beside
+        running sequences, which it would also delay.
         """
-        names = self._sample(pool.readers, exclude)
-        reader = self._best(names, work, samples, now_s)
-        names = self._sample(pool.direct, exclude)
-        maker = self._least_pressure(names, work, now_s)
-        if reader is None or maker is None or reader[0] == maker[0]:
+        names = self._sample(pool.prefillers, exclude)
+        prefiller = self._best(names, work, samples, now_s)
+        names = self._sample(pool.decoders, exclude)
+        decoder = self._least_pressure(names, work, now_s)
+        if prefiller is None or decoder is None or prefiller[0] == decoder[0]:
             return None
-        moved_s = estimates.transfer_s(self.rates, work.prompt_tokens)
-        read = reader[1]
-        score = read.before_decode_s + moved_s + maker[1].pressure_s
+        transfer_s = estimates.kv_transfer_s(
+            self.cost_model, work.prompt_tokens
+        )
+        prefill = prefiller[1]
+        score = prefill.before_decode_s + transfer_s + decoder[1].pressure_s
         inputs = {
-            **read._asdict(),
-            'pressure_s': maker[1].pressure_s,
+            **prefill._asdict(),
+            'pressure_s': decoder[1].pressure_s,
             'interference_s': 0.0,
-            'transfer_s': moved_s,
-            'considered': 2 * SAMPLED,
+            'transfer_s': transfer_s,
+            'considered': 2 * SAMPLE_SIZE,
         }
         return Choice(
-            maker[0],
+            decoder[0],
             score,
             inputs,
-            read.unread_tokens,
-            read.indexed_tokens,
-            reader[0],
+            prefill.unread_tokens,
+            prefill.indexed_tokens,
+            prefiller[0],
         )
 
     def _best(
@@ -231,9 +237,9 @@
         best = None
         for name in names:
             tokens = estimates.indexed_tokens(self.index, samples, name)
-            found = self._estimate(name, work, tokens, now_s)
-            if best is None or found.total_s < best[1].total_s:
-                best = (name, found)
+            estimate = self._estimate(name, work, tokens, now_s)
+            if best is None or estimate.total_s < best[1].total_s:
+                best = (name, estimate)
         return best
 
     def _least_pressure(
@@ -241,36 +247,40 @@
     ) -> tuple[str, estimates.Estimate] | None:
         best = None
         for name in names:
-            found = self._estimate(name, work, work.prompt_tokens, now_s)
-            if best is None or found.pressure_s < best[1].pressure_s:
-                best = (name, found)
+            estimate = self._estimate(name, work, work.prompt_tokens, now_s)
+            if best is None or estimate.pressure_s < best[1].pressure_s:
+                best = (name, estimate)
         return best
 
     def _estimate(
-        self, name: str, work: works.Work, indexed: int, now_s: float
+        self, name: str, work: works.Work, indexed_tokens: int, now_s: float
     ) -> estimates.Estimate:
         state = self._states[name]
-        far = state.info.failure_domain != self.failure_domain
-        return estimates.estimate(self.rates, state, work, indexed, far, now_s)
+        cross_domain = state.info.failure_domain != self.failure_domain
+        return estimates.estimate(
+            self.cost_model, state, work, indexed_tokens, cross_domain, now_s
+        )
 
     def started(self, choice: Choice, work: works.Work, now_s: float) -> None:
-        """Count a request that is being sent to the choice."""
-        reader = self._states.get(choice.reader)
-        if reader is not None:
-            reader.load.started(work.request_id, choice.prefill_tokens, now_s)
-        maker = self._states.get(choice.upstream)
-        if choice.prefill_upstream and maker is not None:
-            maker.load.started(work.request_id, 0, now_s)
-        # It will be cached by the time that others of its kind arrive; the
-        # engine's answer corrects this.
+        """Count a request that is being sent to the chosen upstream."""
+        prefiller = self._states.get(choice.prefilled_by)
+        if prefiller is not None:
+            prefiller.load.started(
+                work.request_id, choice.prefill_tokens, now_s
+            )
+        decoder = self._states.get(choice.upstream)
+        if choice.prefill_upstream and decoder is not None:
+            decoder.load.started(work.request_id, 0, now_s)
+        # The prompt counts as cached from now on, so that requests with the
+        # same prefix follow it; a failed attempt takes this back.
         for hash_ in prefix_index.sample_hashes(work.block_hashes).hashes:
-            self.index.add(hash_, choice.reader)
+            self.index.add(hash_, choice.prefilled_by)
 
     def first_token(
         self, choice: Choice, work: works.Work, now_s: float
     ) -> None:
-        """Count the prompt as read."""
-        state = self._states.get(choice.reader)
+        """Count the prefill as done."""
+        state = self._states.get(choice.prefilled_by)
         if state is None:
             return
         took_s = state.load.first_token(work.request_id, now_s)
@@ -292,21 +302,21 @@
     ) -> None:
         """Forget a request, and learn from what its upstream returned.
 
-        After a split, cached_tokens are those that its reader found.
+        After a separate prefill, cached_tokens are those of that upstream.
         """
-        for name in {choice.upstream, choice.reader}:
+        for name in {choice.upstream, choice.prefilled_by}:
             state = self._states.get(name)
             if state is not None:
                 state.load.finished(work.request_id, now_s)
                 state.record_attempt(failed, now_s)
         if failed:
-            # Whatever was noted at the start may not be cached at all.
+            # The prefixes added at the start may not be cached.
             for hash_ in prefix_index.sample_hashes(work.block_hashes).hashes:
-                self.index.remove(hash_, choice.reader)
+                self.index.remove(hash_, choice.prefilled_by)
             return
-        reader = self._states.get(choice.reader)
-        if reader is not None:
-            reader.record_cache_hits(cached_tokens, choice.indexed_tokens)
+        prefiller = self._states.get(choice.prefilled_by)
+        if prefiller is not None:
+            prefiller.record_cache_hits(cached_tokens, choice.indexed_tokens)
 
     def on_load(
         self,
@@ -314,7 +324,7 @@
         report: typing.Mapping[str, typing.Any],
         now_s: float,
     ) -> None:
-        """Take a load report; ``age_s`` in it says how old it is."""
+        """Take a load report; its ``age_s`` is its age when received."""
         state = self._states.get(upstream)
         if state is None:
             return
@@ -325,10 +335,10 @@
             state.info = state.info._replace(role=role)
             self._pools = {}
         serving = report.get('state', SERVING) == SERVING
-        if serving and upstream in self._away:
-            self._away -= {upstream}
+        if serving and upstream in self._unavailable:
+            self._unavailable -= {upstream}
         elif not serving:
-            self._away |= {upstream}
+            self._unavailable |= {upstream}
 
     def on_cache_events(
         self,
@@ -336,11 +346,10 @@
         events: typing.Iterable[typing.Mapping[str, typing.Any]],
         gap: bool,
     ) -> None:
-        """Take cache events; gap says that some were lost.
+        """Take cache events; gap says that some before them were lost.
 
-        Lost removals show in what the upstream then returns, which sets how
-        far it is trusted; lost additions only cost a hit. So a gap itself
-        changes nothing: distrust at each gap was tried and cost hits.
+        A gap is only counted. A lost removal lowers the measured accuracy
+        of the index, and a lost addition costs at most a cache hit.
         """
         state = self._states.get(upstream)
         if state is None:
@@ -362,13 +371,13 @@
     vm_name: str,
     failure_domain: str,
     seed: int = 0,
-    rates: Rates | None = None,
+    cost_model: CostModel | None = None,
     split: bool = False,
 ) -> Router:
-    """Return a router that knows no upstream yet.
+    """Return a router without upstreams.
 
-    With split it may choose a prefill upstream besides, so its caller must
-    be able to move KV.
+    With split it may choose separate upstreams for prefill and decode, so
+    the caller must be able to transfer the KV cache between them.
     """
-    rates = rates or Rates()
-    return Router(vm_name, failure_domain, seed, rates, split)
+    cost_model = cost_model or CostModel()
+    return Router(vm_name, failure_domain, seed, cost_model, split)
