--- a/gentianstair/entry/upstream_load.py
+++ b/gentianstair/entry/upstream_load.py
@@ -1,22 +1,22 @@
-"""Estimate an upstream's load from own work and late reports."""
+"""Estimate an upstream's load from requests in flight and load reports."""
 
 import collections
 import math
 import typing
 
-# Reports that do not say how old their figures are count as this old.
+# Age of a report that does not say how old it is.
 DEFAULT_REPORT_AGE_S = 1.0
-# How long own changes are kept, to know what a late report already counts.
-# A report older than this is of no use.
+# Reports count as at most this old. Changes by this process's own requests
+# are kept as long, to know which of them a report includes.
 MAX_REPORT_AGE_S = 10.0
-# After this long without a report, what it said of others' work fades.
+# Age from which the load that a report shows of others is scaled down.
 FULL_WEIGHT_AGE_S = 5.0
-# KV memory in use from which its share tells how many requests fit.
+# Part of the KV memory that must be in use for estimates of its capacity.
 MIN_KV_SHARE = 0.5
 
 
 class Report(typing.NamedTuple):
-    """What an upstream said of itself; ``at_s`` is on our clock."""
+    """An upstream's load report; ``at_s`` is on this process's clock."""
 
     at_s: float
     running: int
@@ -27,12 +27,15 @@
 
 
 class Estimate(typing.NamedTuple):
-    """What an upstream holds now, as far as we know."""
+    """The estimated load of an upstream."""
 
+    # Prompt tokens whose prefill is not done.
     prefill_tokens: float
+    # Requests running or waiting.
     requests: float
-    # Requests that its KV memory holds, by what those running take.
+    # Requests that fit into the KV memory, by the mean of those running.
     slots: float
+    # -1 without a report.
     report_age_s: float
 
 
@@ -42,19 +45,19 @@
     requests: int
 
 
-class _Held(typing.NamedTuple):
+class _InFlight(typing.NamedTuple):
     prefill_tokens: int
     started_s: float
 
 
 class UpstreamLoad:
-    """What one entry process knows of one upstream's load.
+    """The load of one upstream, as one entry process estimates it.
 
-    Own work is known at once, others' only by reports that are late. A
-    report counts own work too, as it was when the report was made; that part
-    is taken off, so what is left is others' work. Without this a report
-    would be added to work it already counts, and an upstream just chosen
-    would look idle until the next report: everyone would send to it.
+    The process knows its own requests exactly and those of other processes
+    from delayed reports. A report includes the process's own requests as of
+    the time it was made. They are subtracted, which leaves the load of the
+    others, and the own requests of now are added. So no request counts twice,
+    and a request sent after the report counts at once.
     """
 
     def __init__(self) -> None:
@@ -63,43 +66,48 @@
         self.others_prefill_tokens = 0.0
         self.others_requests = 0.0
         self.report: Report | None = None
-        self._held: dict[str, _Held] = {}
+        self._in_flight: dict[str, _InFlight] = {}
         self._changes: collections.deque[_Change] = collections.deque()
 
     def started(
         self, request_id: str, prefill_tokens: int, now_s: float
     ) -> None:
         """Count a request that is being sent."""
-        self._held[request_id] = _Held(prefill_tokens, now_s)
+        self._in_flight[request_id] = _InFlight(prefill_tokens, now_s)
         self._change(now_s, prefill_tokens, 1)
 
     def first_token(self, request_id: str, now_s: float) -> float | None:
-        """Count the prompt as read; return the seconds it took."""
-        held = self._held.get(request_id)
-        if held is None or not held.prefill_tokens:
+        """Count the prefill as done; return the seconds it took.
+
+        Return None for an unknown request or one without a prefill here.
+        """
+        request = self._in_flight.get(request_id)
+        if request is None or not request.prefill_tokens:
             return None
-        self._held[request_id] = held._replace(prefill_tokens=0)
-        self._change(now_s, -held.prefill_tokens, 0)
-        return now_s - held.started_s
+        self._in_flight[request_id] = request._replace(prefill_tokens=0)
+        self._change(now_s, -request.prefill_tokens, 0)
+        return now_s - request.started_s
 
     def finished(self, request_id: str, now_s: float) -> bool:
         """Forget a request; return whether it was counted."""
-        held = self._held.pop(request_id, None)
-        if held is None:
+        request = self._in_flight.pop(request_id, None)
+        if request is None:
             return False
-        self._change(now_s, -held.prefill_tokens, -1)
+        self._change(now_s, -request.prefill_tokens, -1)
         return True
 
-    def _change(self, now_s: float, prefill_tokens: int, count: int) -> None:
+    def _change(
+        self, now_s: float, prefill_tokens: int, requests: int
+    ) -> None:
         self.prefill_tokens += prefill_tokens
-        self.requests += count
+        self.requests += requests
         changes = self._changes
-        changes.append(_Change(now_s, prefill_tokens, count))
+        changes.append(_Change(now_s, prefill_tokens, requests))
         while changes[0].at_s < now_s - MAX_REPORT_AGE_S:
             changes.popleft()
 
     def on_report(self, report: Report) -> None:
-        """Take a report; one older than the last one is ignored."""
+        """Take a report, unless a newer one was taken before."""
         if self.report is not None and report.at_s < self.report.at_s:
             return
         own_prefill = self.prefill_tokens
@@ -118,19 +126,19 @@
         self.report = report
 
     def estimate(self, now_s: float) -> Estimate:
-        """Return the load as expected now."""
+        """Return the estimated load at now_s."""
         report = self.report
         if report is None:
             return Estimate(self.prefill_tokens, self.requests, math.inf, -1.0)
         age_s = now_s - report.at_s
-        fade = min(FULL_WEIGHT_AGE_S / age_s, 1.0) if age_s > 0.0 else 1.0
+        weight = min(FULL_WEIGHT_AGE_S / age_s, 1.0) if age_s > 0.0 else 1.0
         kv_share = report.kv_used_blocks / max(report.kv_total_blocks, 1)
-        # Few sequences, or little memory in use, say nothing of the rest.
+        # The mean KV memory of a request is known only from enough of them.
         known = kv_share > MIN_KV_SHARE and report.running > 1
         slots = report.running / kv_share if known else math.inf
         return Estimate(
-            self.prefill_tokens + self.others_prefill_tokens * fade,
-            self.requests + self.others_requests * fade,
+            self.prefill_tokens + self.others_prefill_tokens * weight,
+            self.requests + self.others_requests * weight,
             slots,
             age_s,
         )
@@ -139,9 +147,9 @@
 def parse_report(
     report: typing.Mapping[str, typing.Any], now_s: float
 ) -> Report:
-    """Return the report of an upstream's load answer.
+    """Return the report in an upstream's answer to a load request.
 
-    The upstream's clock is not ours, so its age counts, not its time.
+    Its time is computed from its age, since the clocks may differ.
     """
     age_s = float(report.get('age_s', DEFAULT_REPORT_AGE_S))
     return Report(
