--- a/gentianstair/entry/reservations.py
+++ b/gentianstair/entry/reservations.py
@@ -1,56 +1,59 @@
-"""Remember the times at which refused callers were told to return."""
+"""Reserve capacity for refused callers at their Retry-After times."""
 
 import heapq
 
-# A promise not redeemed this long after its time is dropped: some callers
-# never return, and fresh ones must not be refused for them.
+# A reservation expires after GRACE_S plus this part of the caller's patience,
+# since some callers never return.
 GRACE_SHARE = 0.25
 GRACE_S = 2.0
-# Most promises kept for one customer; beyond it the time is a guess.
+# Reservations of one customer; further callers get a Retry-After without one.
 MAX_RESERVATIONS = 2000
 
 
 class Reservations:
-    """The promises made to one customer's callers.
+    """The reservations for one customer's refused callers.
 
-    A caller that returns cannot be told from a fresh one, so each arrival
-    redeems the oldest promise that is due. Fresh arrivals are judged as if
-    the promised work already waited; else they would take the places, and
-    a caller that obeys would be refused for ever.
+    A returning caller often looks like a new one, so each arrival redeems
+    the earliest reservation that is due. Admission treats reserved work as
+    queued; otherwise new arrivals would take its place, and a caller that
+    follows Retry-After could be refused again each time.
     """
 
     def __init__(self) -> None:
-        # Due time, cost and time of expiry.
-        self._kept: list[tuple[float, float, float]] = []
+        # Heap of due time, cost and time of expiry.
+        self._heap: list[tuple[float, float, float]] = []
         self._total_cost = 0.0
-        # Whether this customer's callers mark their returns.
+        # Whether any of the customer's callers marked a request as a retry.
         self.callers_mark_returns = False
 
     def _expire(self, now_s: float) -> None:
-        while self._kept and self._kept[0][2] <= now_s:
-            self._total_cost -= heapq.heappop(self._kept)[1]
+        while self._heap and self._heap[0][2] <= now_s:
+            self._total_cost -= heapq.heappop(self._heap)[1]
 
     def reserve(self, due_s: float, cost: float, patience_s: float) -> None:
-        """Keep a place for a caller that returns at due_s."""
-        if len(self._kept) >= MAX_RESERVATIONS:
+        """Reserve cost for a caller that is to return at due_s.
+
+        patience_s is how long the caller would have waited in the queue.
+        """
+        if len(self._heap) >= MAX_RESERVATIONS:
             return
         grace_s = GRACE_S + GRACE_SHARE * max(0.0, patience_s)
-        heapq.heappush(self._kept, (due_s, cost, due_s + grace_s))
+        heapq.heappush(self._heap, (due_s, cost, due_s + grace_s))
         self._total_cost += cost
 
     def redeem(self, now_s: float) -> bool:
-        """Use up the oldest promise that is due; False without one."""
+        """Remove the earliest reservation that is due; False without one."""
         self._expire(now_s)
-        if not self._kept or self._kept[0][0] > now_s:
+        if not self._heap or self._heap[0][0] > now_s:
             return False
-        self._total_cost -= heapq.heappop(self._kept)[1]
+        self._total_cost -= heapq.heappop(self._heap)[1]
         return True
 
     def total_cost(self, now_s: float) -> float:
-        """Return the cost of all that is promised."""
+        """Return the cost of all reservations."""
         self._expire(now_s)
         return max(0.0, self._total_cost)
 
     def due_cost(self, until_s: float) -> float:
-        """Return the cost promised for times up to until_s."""
-        return sum(cost for due_s, cost, _ in self._kept if due_s <= until_s)
+        """Return the cost of the reservations that are due by until_s."""
+        return sum(cost for due_s, cost, _ in self._heap if due_s <= until_s)
--- a/gentianstair/entry/work.py
+++ b/gentianstair/entry/work.py
@@ -1,18 +1,18 @@
-"""Describe one request to the decisions that admit, queue and route it."""
+"""Describe a request to the code that admits, queues and routes it."""
 
 import typing
 
-# Tokens in one piece of an engine's prefix cache.
+# Tokens of one block of an engine's prefix cache.
 BLOCK_TOKENS = 64
 
 
 class Work(typing.NamedTuple):
-    """What the decisions know of one request.
+    """A request as admission and routing see it.
 
-    ``deadline_s`` is on the node's own clock, as all times of decisions.
-    ``block_hashes`` name the whole blocks of the prompt from its start, each
-    hash covering all before it, salted with the customer unless the bundle
-    shares prefixes. ``priority`` is higher for more urgent work.
+    ``deadline_s`` is on the node's clock. ``block_hashes`` has a hash for
+    each full block of the prompt, computed over that block and all before
+    it, and salted with the customer unless the bundle shares prefixes. A
+    higher ``priority`` is more urgent.
     """
 
     request_id: str
@@ -27,7 +27,7 @@
 
 
 class CostWeights(typing.NamedTuple):
-    """What a token costs an engine, in units of one prompt token."""
+    """The cost of a token by its kind, in units of one prompt token."""
 
     prompt_token: float = 1.0
     output_token: float = 4.0
@@ -37,7 +37,9 @@
 
 
 def cost(work: Work, weights: CostWeights = DEFAULT_WEIGHTS) -> float:
-    """Return the work's expected cost in prompt-token units.
+    """Return the cost of a request that uses all of its max_tokens.
+
+    It is in prompt-token units.
 
     >>> cost(Work('r', 'c', 'm', 100, 10, 1.0))
     140.0
