--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -103,7 +103,7 @@
         windows={},
         cores=vm_settings.cores,
     )
-    prefill_costs = prefill_costs.PrefillCosts()
+    costs = prefill_costs.PrefillCosts()
     members = memberships.Members(
         store,
         name,
@@ -111,9 +111,9 @@
         counts,
         now,
         vm_settings.store_writes_per_s,
-        prefill_costs,
+        costs,
     )
-    node = _make_node(live, store, counts, members, prefill_costs, nursery)
+    node = _make_node(live, store, counts, members, costs, nursery)
     leases = lease.make_lease_manager(
         store, name, now, leader_tasks.lease_terms(bounds.lease_s)
     )
@@ -145,7 +145,7 @@
     store: objects.ObjectStore,
     counts: usage_counter.UsageCounter,
     members: memberships.Members,
-    prefill_costs: prefill_costs.PrefillCosts,
+    costs: prefill_costs.PrefillCosts,
     nursery: trio.Nursery,
 ) -> nodes.Node:
     now = clock.boottime_s
@@ -170,12 +170,12 @@
         cache=cache,
         cache_news=cache_updates.CacheUpdates(cache),
         roster=roster,
-        read_costs=prefill_costs,
+        read_costs=costs,
         placement=placement.Placement(
             vm_settings.failure_domain,
             node_loads,
             cache,
-            prefill_costs,
+            costs,
             random.Random(vm_settings.vm),
         ),
         repeats=retry_budget.RetryBudget(
