--- a/gentianstair/gateway/remote_prefill.py
+++ b/gentianstair/gateway/remote_prefill.py
@@ -67,7 +67,7 @@
         assert replica is not None
         request, node = self._request, self._node
         started_s = node.clock()
-        request = node.loads.begin(
+        active_request = node.loads.begin(
             replica.name,
             plan.work_s,
             started_s + plan.prefill_end_s,
@@ -94,7 +94,7 @@
             self._failed(replica, failure, started_s)
             raise failure from error
         finally:
-            node.loads.end(request)
+            node.loads.end(active_request)
         self._attempts += 1
         self._held = _HeldKv(source, replica.name)
         took_s = node.clock() - started_s
