--- a/gentianstair/entry/admission.py
+++ b/gentianstair/entry/admission.py
@@ -1,4 +1,4 @@
-"""Admit requests in fair order, and refuse early what would come late."""
+"""Admit requests in fair order; refuse early those that would be late."""
 
 import collections.abc
 import contextlib
@@ -16,13 +16,12 @@
 from gentianstair.generated import messages
 from gentianstair.util import clock as clocks
 
-# A summary is sent at least this often, also without rows. A peer that was
-# silent for three times as long may be cut off; it keeps an even part.
+# A summary is sent at least this often, even without rows. A peer that was
+# silent for PEER_TIMEOUT_S may be cut off, so an even share is left to it.
 HEARTBEAT_S = 2.0
 PEER_TIMEOUT_S = 3.0 * HEARTBEAT_S
-# All rows are sent again this often, so a lost message heals.
+# Unchanged rows are sent again this often, in case a summary was lost.
 FULL_SUMMARY_INTERVAL_S = 10.0
-# Longest Retry-After; a longer line is not worth telling.
 MAX_RETRY_AFTER_S = 3600.0
 
 RecordDecision = collections.abc.Callable[[admission_types.Decision], None]
@@ -33,7 +32,7 @@
 
 
 class Ticket:
-    """The right to run one request, and what it is charged."""
+    """The right to run a request, with the usage charged for it."""
 
     def __init__(
         self,
@@ -47,21 +46,26 @@
     def charge(
         self, prompt_tokens: int, output_tokens: int, cached_tokens: int = 0
     ) -> None:
-        """Set the cost that the upstream's usage shows, in tokens.
+        """Charge the tokens that the upstream reported.
 
-        Prompt tokens found in the engine's cache cost nothing. The last
-        call counts; without one the expected cost stands.
+        Cached prompt tokens cost nothing. The last call counts; without one
+        the expected cost is charged.
         """
         weights = works.DEFAULT_WEIGHTS
-        fresh = max(0, prompt_tokens - cached_tokens)
+        uncached = max(0, prompt_tokens - cached_tokens)
         cost = (
-            fresh * weights.prompt_token + output_tokens * weights.output_token
+            uncached * weights.prompt_token
+            + output_tokens * weights.output_token
         )
-        self.usage = admission_types.Usage(fresh, output_tokens, cost)
+        self.usage = admission_types.Usage(uncached, output_tokens, cost)
 
 
 class Queue:
-    """Requests that wait for a share of the fleet, by model."""
+    """The requests of one entry process that wait for a slot, by model.
+
+    The VMs share each model's capacity by the demand that they report to
+    each other in summaries.
+    """
 
     def __init__(
         self,
@@ -75,34 +79,36 @@
         self._clock = clock
         self._record = record
         self._pools: dict[str, pools.Pool] = {}
-        self._order = itertools.count()
+        # Numbers waiters and sent rows.
+        self._sequence = itertools.count()
         self._incarnation = uuid.uuid4().hex[:12]
-        self._live: set[str] = {vm}
-        self._heard_s: dict[str, float] = {}
+        self._live_vms: set[str] = {vm}
+        self._heard_at_s: dict[str, float] = {}
         self._peer_incarnation: dict[str, str] = {}
-        self._sent: dict[tuple[str, str], messages.ServiceRow] = {}
-        self._sent_numbers: dict[tuple[str, str], int] = {}
-        self._full_s = -FULL_SUMMARY_INTERVAL_S
-        self._sent_s = -HEARTBEAT_S
+        # Last sent rows and the order of sending, by model and customer.
+        self._sent_rows: dict[tuple[str, str], messages.ServiceRow] = {}
+        self._row_send_order: dict[tuple[str, str], int] = {}
+        self._full_summary_at_s = -FULL_SUMMARY_INTERVAL_S
+        self._summary_sent_at_s = -HEARTBEAT_S
 
     def set_capacity(
         self, model: str, slots: int, cost_per_s: float = 0.0
     ) -> None:
-        """Set what the whole fleet's engines can carry for a model.
+        """Set the capacity of the whole fleet for a model.
 
-        slots are requests that run at once, cost_per_s a first figure of
-        their speed in cost units; service measured here replaces it. This
-        VM uses its part, by what peers report to be asked of them.
+        slots is the number of requests that can run at once, cost_per_s the
+        throughput in cost units to assume until it is measured here. This VM
+        uses the share that its part of the fleet's demand gives it.
         """
         pool = self._pool(model)
         pool.set_capacity(slots, cost_per_s)
-        self._resplit(pool)
+        self._update_shares(pool)
 
     def set_vms(self, live: collections.abc.Iterable[str]) -> None:
-        """Set the entry VMs that share the fleet, this one included."""
-        self._live = {self._vm, *live}
+        """Set the live entry VMs; this one is always included."""
+        self._live_vms = {self._vm, *live}
         for pool in self._pools.values():
-            self._resplit(pool)
+            self._update_shares(pool)
 
     def _pool(self, model: str) -> pools.Pool:
         if model not in self._pools:
@@ -117,13 +123,13 @@
         """Wait for a slot in fair order and hold it for the block.
 
         Raise RequestError (429 or 503, NOT_RUN) as soon as the deadline
-        cannot be met. A refusal is final: nothing of it stays queued.
-        returning says that the caller marked the request as a repeat after
-        a refusal, which another VM may have given.
+        cannot be met; the request is then no longer queued. returning says
+        that the caller marked the request as a retry after a refusal, which
+        may have come from another VM.
         """
         pool = self._pool(work.model)
         now_s = self._clock()
-        waiter = admission_types.Waiter(work, next(self._order), now_s)
+        waiter = admission_types.Waiter(work, next(self._sequence), now_s)
         decision = pool.offer(waiter, now_s, returning)
         self._record(decision)
         if not decision.admitted:
@@ -143,12 +149,12 @@
             started_s = self._clock()
             yield ticket
         finally:
-            # A caller that hung up arrives here too: its place in the
-            # queue or its slot is free at once.
+            # Cancellation by a caller that hung up also frees the slot or
+            # the place in the queue.
             pool.leave(waiter, ticket.usage, started_s, self._clock())
 
     def waiting_count(self, model: str) -> int:
-        """Return how many requests of a model wait here."""
+        """Return how many requests of a model are queued here."""
         return self._pool(model).waiting_count()
 
     def running_count(self, model: str) -> int:
@@ -156,38 +162,39 @@
         return self._pool(model).running_count
 
     def counters(self, model: str) -> fairness.Counters:
-        """Return the service counters of a model."""
+        """Return the service counters of a model's customers."""
         return self._pool(model).counters
 
     def summary(
         self, max_rows: int | None = None
     ) -> messages.FairnessSummary | None:
-        """Return the rows that changed since the last call, or None.
+        """Return the rows that changed since the last call.
 
-        With max_rows, those sent longest ago go first and the others wait
-        for the next call.
+        Without any, return None until HEARTBEAT_S has passed. Of more rows
+        than max_rows, those sent longest ago are returned and the others by
+        later calls.
         """
         now_s = self._clock()
-        if now_s - self._full_s >= FULL_SUMMARY_INTERVAL_S:
-            self._full_s = now_s
-            self._sent.clear()
+        if now_s - self._full_summary_at_s >= FULL_SUMMARY_INTERVAL_S:
+            self._full_summary_at_s = now_s
+            self._sent_rows.clear()
         rows = []
         for pool in self._pools.values():
             for row in pool.rows(now_s):
                 key = (row['model'], row['customer'])
-                if fairness.has_changed(row, self._sent.get(key)):
+                if fairness.has_changed(row, self._sent_rows.get(key)):
                     rows.append(row)
-            self._resplit(pool)
+            self._update_shares(pool)
         if max_rows is not None and len(rows) > max_rows:
-            rows.sort(key=self._sent_number)
+            rows.sort(key=self._send_order_of)
             del rows[max_rows:]
         for row in rows:
             key = (row['model'], row['customer'])
-            self._sent[key] = row
-            self._sent_numbers[key] = next(self._order)
-        if not rows and now_s - self._sent_s < HEARTBEAT_S:
+            self._sent_rows[key] = row
+            self._row_send_order[key] = next(self._sequence)
+        if not rows and now_s - self._summary_sent_at_s < HEARTBEAT_S:
             return None
-        self._sent_s = now_s
+        self._summary_sent_at_s = now_s
         return {
             'version': fairness.SUMMARY_VERSION,
             'vm': self._vm,
@@ -195,35 +202,35 @@
             'rows': rows,
         }
 
-    def _sent_number(self, row: messages.ServiceRow) -> int:
-        return self._sent_numbers.get((row['model'], row['customer']), -1)
+    def _send_order_of(self, row: messages.ServiceRow) -> int:
+        return self._row_send_order.get((row['model'], row['customer']), -1)
 
     def merge(self, vm: str, summary: messages.FairnessSummary) -> None:
-        """Take a peer's summary; a repeat or a late one does no harm."""
+        """Take a peer's summary; a repeated or delayed one is harmless."""
         if vm == self._vm or summary['version'] != fairness.SUMMARY_VERSION:
             return
         if self._peer_incarnation.get(vm) != summary['incarnation']:
-            # A peer that started anew counts from nothing: taken for the
-            # old one its totals would fall and give its customers credit.
-            self._forget(vm)
+            # A restarted peer counts from zero. Compared with the old
+            # totals, that would lower the counters of its customers.
+            self._drop_peer(vm)
             self._peer_incarnation[vm] = summary['incarnation']
-        self._heard_s[vm] = self._clock()
+        self._heard_at_s[vm] = self._clock()
         for row in summary['rows']:
             self._pool(row['model']).merge(vm, row)
 
-    def _forget(self, vm: str) -> None:
+    def _drop_peer(self, vm: str) -> None:
         self._peer_incarnation.pop(vm, None)
         for pool in self._pools.values():
             pool.forget(vm)
 
-    def _resplit(self, pool: pools.Pool) -> None:
+    def _update_shares(self, pool: pools.Pool) -> None:
         now_s = self._clock()
-        for vm, heard_s in list(self._heard_s.items()):
-            if vm not in self._live or now_s - heard_s > PEER_TIMEOUT_S:
-                del self._heard_s[vm]
-                self._forget(vm)
-        heard = {self._vm, *self._heard_s} & self._live
-        pool.resplit(self._vm, heard, len(self._live), now_s)
+        for vm, heard_at_s in list(self._heard_at_s.items()):
+            if vm not in self._live_vms or now_s - heard_at_s > PEER_TIMEOUT_S:
+                del self._heard_at_s[vm]
+                self._drop_peer(vm)
+        heard = {self._vm, *self._heard_at_s} & self._live_vms
+        pool.resplit(self._vm, heard, len(self._live_vms), now_s)
         pool.drop_late(now_s)
 
 
@@ -249,7 +256,7 @@
     """Return the queue of one entry process.
 
     weight_of gives a customer's weight, for example from the view; record
-    takes each decision with its inputs.
+    is called with each decision.
     """
     return Queue(vm, weight_of, clock, record)
 
--- a/gentianstair/entry/fairness.py
+++ b/gentianstair/entry/fairness.py
@@ -1,4 +1,4 @@
-"""Share the work of one model between customers and between VMs."""
+"""Share a model's capacity fairly between customers and between VMs."""
 
 import collections.abc
 import heapq
@@ -6,58 +6,60 @@
 
 from gentianstair.generated import messages
 
-# Version of the summaries this module writes.
+# Version of the summaries that VMs exchange.
 SUMMARY_VERSION = 1
-# A row is sent again once a figure of it moved by this share.
+# A row is sent again once a value in it has changed by this part.
 MIN_CHANGE_SHARE = 0.05
 
 WeightOf = collections.abc.Callable[[str], float]
 
 
 class DecayingRate:
-    """An average of a flow per second that forgets with a half-life."""
+    """A rate per second, averaged with exponential decay."""
 
     def __init__(self, half_life_s: float, now_s: float) -> None:
         self._half_life_s = half_life_s
-        self._at_s = now_s
+        self._updated_at_s = now_s
         self._sum = 0.0
 
     def _decay(self, now_s: float) -> None:
-        passed_s = max(0.0, now_s - self._at_s)
+        passed_s = max(0.0, now_s - self._updated_at_s)
         self._sum *= 0.5 ** (passed_s / self._half_life_s)
-        self._at_s = max(self._at_s, now_s)
+        self._updated_at_s = max(self._updated_at_s, now_s)
 
     def add(self, amount: float, now_s: float) -> None:
-        """Count an amount that flowed at now_s."""
+        """Count an amount at now_s."""
         self._decay(now_s)
         self._sum += amount
 
     def per_s(self, now_s: float) -> float:
-        """Return the average flow; a burst counts over the half-life."""
+        """Return the average rate a second."""
         self._decay(now_s)
         return self._sum * 0.6931 / self._half_life_s
 
 
 class Counters:
-    """Virtual service counters of one model's customers, as one VM knows.
+    """Virtual service counters of one model's customers on one VM.
 
     A counter is the cost served to the customer, here and as peers report,
     divided by its weight. The next slot goes to the backlogged customer with
-    the lowest counter. On one VM two backlogged customers whose requests
-    cost at most U, with at most n requests in flight, never differ by more
-    than (n + 1) * U / weight: a choice lifts only the lowest, by at most
-    U / weight, and refunds take back at most what is in flight. Each peer
+    the lowest counter. On one VM, the counters of two backlogged customers
+    whose requests cost at most U, with at most n requests in flight, differ
+    by at most (n + 1) * U / weight: each grant raises only the lowest, by at
+    most U / weight, and refunds are at most the cost in flight. Each peer
     adds at most what it served between two summaries.
     """
 
     def __init__(self, weight_of: WeightOf) -> None:
         self._weight_of = weight_of
+        # Cost served to each customer: by all VMs, and by this one.
         self.served: dict[str, float] = {}
         self.served_here: dict[str, float] = {}
+        # Sum of the counter lifts of each customer.
         self._lift: dict[str, float] = {}
 
     def value(self, customer: str) -> float:
-        """Return the customer's counter, in cost units by weight."""
+        """Return the customer's counter: its cost by weight, with lifts."""
         served = self.served.get(customer, 0.0)
         weight = max(self._weight_of(customer), 1e-9)
         return served / weight + self._lift.get(customer, 0.0)
@@ -72,62 +74,62 @@
         self.served[customer] = self.served.get(customer, 0.0) + cost
 
     def lift(self, customer: str, floor: float) -> None:
-        """Lift a customer that was idle to the lowest that was not.
+        """Raise the counter of a customer that was idle to the floor.
 
-        Without this a customer that was idle for an hour would have saved
-        up an hour of service and shut all others out on its return.
+        Without the lift, a customer that was idle for an hour would be
+        served alone until its counter has caught up with the others.
         """
         behind = floor - self.value(customer)
         if behind > 0.0:
             self._lift[customer] = self._lift.get(customer, 0.0) + behind
 
     def order_key(self, customer: str) -> tuple[float, float, str]:
-        """Return the key by which customers take turns, lowest first.
+        """Return the sort key of a customer; the lowest is served next.
 
-        Of equals the newcomer goes first, which was lifted the most.
+        At equal counters the customer with the largest lift goes first.
         """
         lift = self._lift.get(customer, 0.0)
         return round(self.value(customer), 6), -lift, customer
 
 
 class CustomerHeap:
-    """The waiting customers in the order of their turns.
+    """The backlogged customers in a heap, lowest counter first.
 
-    A heap with stale entries: counters mostly grow, so an entry that is out
-    of date is found at the top and put back where it belongs. What lowers a
-    counter must call ``add`` again, or its customer is found too late.
+    Entries are updated lazily: a counter that grew is noticed when its entry
+    is at the top, which is then moved down. After a counter has fallen,
+    ``add`` must be called again, or its customer is served too late.
     """
 
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
         self._heap: list[tuple[float, float, str]] = []
-        # The one entry of each waiting customer that counts.
+        # The valid entry of each customer; others in the heap are stale.
         self._entries: dict[str, tuple[float, float, str]] = {}
 
     def add(self, customer: str) -> None:
-        """Let a customer take part, or note that its counter fell."""
+        """Add a customer, or update one whose counter has fallen."""
         entry = self._counters.order_key(customer)
         if self._entries.get(customer) != entry:
             self._entries[customer] = entry
             heapq.heappush(self._heap, entry)
 
     def remove(self, customer: str) -> None:
-        """Let a customer take part no more."""
+        """Remove a customer that is no longer backlogged."""
         self._entries.pop(customer, None)
 
     def lowest(self) -> str | None:
-        """Return the customer whose turn it is; None if none waits."""
+        """Return the customer to serve next, or None if none waits."""
         while self._heap:
             entry = self._heap[0]
             customer = entry[2]
             if self._entries.get(customer) is not entry:
                 heapq.heappop(self._heap)
                 continue
-            now = self._counters.order_key(customer)
-            if now <= entry:
+            current = self._counters.order_key(customer)
+            if current <= entry:
                 return customer
-            self._entries[customer] = now
-            heapq.heapreplace(self._heap, now)
+            self._entries[customer] = current
+            heapq.heapreplace(self._heap, current)
         return None
 
 
@@ -144,13 +146,13 @@
     weights = {name: max(weight_of(name), 1e-9) for name in demands}
     order = sorted(demands, key=lambda name: demands[name] / weights[name])
     weight_left = sum(weights.values())
-    given = {}
+    shares = {}
     for name in order:
-        part = total * weights[name] / weight_left
-        given[name] = min(demands[name], part)
-        total -= given[name]
+        fair_share = total * weights[name] / weight_left
+        shares[name] = min(demands[name], fair_share)
+        total -= shares[name]
         weight_left -= weights[name]
-    return given
+    return shares
 
 
 def vm_shares(
@@ -158,34 +160,34 @@
     demands: collections.abc.Mapping[str, dict[str, float]],
     weight_of: WeightOf,
 ) -> dict[str, float]:
-    """Return each VM's part of total, from demands by VM and customer.
+    """Return each VM's share of total, from demands by VM and customer.
 
-    Every customer gets its fair part of the whole fleet, wherever its
-    callers arrive; what nobody asks for is spread evenly.
+    Each customer gets its fair share of the whole fleet, whichever VMs its
+    requests arrive at. What is left over is shared evenly.
 
     >>> vm_shares(9.0, {'v1': {'a': 50.0}, 'v2': {'b': 3.0}}, lambda name: 1.0)
     {'v1': 6.0, 'v2': 3.0}
     """
-    asked: dict[str, float] = {}
+    fleet_demand: dict[str, float] = {}
     for rows in demands.values():
         for customer, demand in rows.items():
-            asked[customer] = asked.get(customer, 0.0) + demand
-    given = max_min_fair(total, asked, weight_of)
-    spare = max(0.0, total - sum(given.values())) / max(1, len(demands))
-    parts = {}
+            fleet_demand[customer] = fleet_demand.get(customer, 0.0) + demand
+    granted = max_min_fair(total, fleet_demand, weight_of)
+    spare = max(0.0, total - sum(granted.values())) / max(1, len(demands))
+    shares = {}
     for vm, rows in demands.items():
-        parts[vm] = spare + sum(
-            given[customer] * demand / asked[customer]
+        shares[vm] = spare + sum(
+            granted[customer] * demand / fleet_demand[customer]
             for customer, demand in rows.items()
             if demand > 0.0
         )
-    return parts
+    return shares
 
 
 def has_changed(
     row: messages.ServiceRow, last: messages.ServiceRow | None
 ) -> bool:
-    """Return whether a row moved enough since it was last sent."""
+    """Return whether a row changed enough to be sent again."""
     if last is None:
         return True
     for field in ('served_cost', 'demand_cost_per_s', 'waiting_cost'):
