--- a/test/entry/test_twins.py
+++ b/test/entry/test_decision_invariants.py
@@ -1,4 +1,4 @@
-"""Test that our decisions and their naive twins agree on safety."""
+"""Test invariants of queues and retries, also on the naive baselines."""
 
 import random
 
@@ -23,7 +23,7 @@
     return queue
 
 
-class Run:
+class RandomLoad:
     """Random requests, hang-ups and failures against one queue."""
 
     def __init__(self, kind, seed):
@@ -31,9 +31,10 @@
         self.queue = make_queue(kind)
         self.running = 0
         self.most_running = 0
-        self.ends = []
+        # Number and outcome of each request that ended.
+        self.ended = []
 
-    async def one(self, number):
+    async def run_request(self, number):
         rng = random.Random(f'{number}')
         item = work.Work(
             f'r{number}',
@@ -46,18 +47,18 @@
         )
         with trio.move_on_after(
             rng.choice((rng.uniform(0, 5), 100.0))
-        ) as gone:
+        ) as patience:
             try:
-                await self.hold(item, rng)
+                await self.hold_slot(item, rng)
             except errors.RequestError as error:
                 assert error.verdict is verdict.Verdict.NOT_RUN
-                self.ends.append((number, 'refused'))
+                self.ended.append((number, 'refused'))
             except errors.UpstreamError:
-                self.ends.append((number, 'failed'))
-        if gone.cancelled_caught:
-            self.ends.append((number, 'gone'))
+                self.ended.append((number, 'failed'))
+        if patience.cancelled_caught:
+            self.ended.append((number, 'gone'))
 
-    async def hold(self, item, rng):
+    async def hold_slot(self, item, rng):
         async with self.queue.admit(item) as ticket:
             self.running += 1
             self.most_running = max(self.most_running, self.running)
@@ -68,46 +69,47 @@
                 ticket.charge(item.prompt_tokens, item.max_tokens // 2)
             finally:
                 self.running -= 1
-        self.ends.append((int(item.request_id[1:]), 'served'))
+        self.ended.append((int(item.request_id[1:]), 'served'))
 
-    async def play(self, count):
+    async def run(self, count):
         async with trio.open_nursery() as nursery:
             for number in range(count):
-                nursery.start_soon(self.one, number)
+                nursery.start_soon(self.run_request, number)
                 await trio.sleep(self.rng.expovariate(8.0))
 
 
 @pytest.mark.parametrize('seed', range(4))
 @pytest.mark.parametrize('kind', ['fifo', 'fair'])
-async def test_every_request_ends_once_and_slots_hold(
+async def test_hangups_and_failures_neither_lose_nor_duplicate_slots(
     autojump_clock, kind, seed
 ):
-    # Callers hang up and upstreams fail at any moment, also in the instant
-    # of the grant. A slot lost each time would stop the VM after a while,
-    # and one freed twice would overload the engines.
-    run = Run(kind, seed)
-    await run.play(400)
-    assert sorted(number for number, _ in run.ends) == list(range(400))
-    assert run.most_running <= SLOTS
-    assert run.running == 0
+    # Callers hang up and upstreams fail at any time, also when a slot is
+    # being granted.
+    load = RandomLoad(kind, seed)
+    await load.run(400)
+    assert sorted(number for number, _ in load.ended) == list(range(400))
+    assert load.most_running <= SLOTS
+    assert load.running == 0
     for number in range(SLOTS):
         item = work.Work(f'r{number}', 'z', 'm', 1, 1, 1e9)
-        admitted = run.queue.admit(item)
+        admitted = load.queue.admit(item)
         with trio.fail_after(1.0):
             await admitted.__aenter__()
     if kind == 'fair':
-        assert run.queue.waiting_count('m') == 0
+        assert load.queue.waiting_count('m') == 0
 
 
 @pytest.mark.parametrize('attempt', range(1, 6))
 @pytest.mark.parametrize('repeatable', [True, False])
-@pytest.mark.parametrize('found', list(verdict.Verdict))
-def test_no_policy_repeats_what_may_have_run(attempt, repeatable, found):
-    error = errors.UpstreamError('x', found)
+@pytest.mark.parametrize('outcome', list(verdict.Verdict))
+def test_request_that_may_have_run_is_not_retried(
+    attempt, repeatable, outcome
+):
+    error = errors.UpstreamError('x', outcome)
     policy = retries.make_retries(1)
-    ours = policy.choose(error, 'c', 'u', attempt, repeatable, 9.0).retry
-    not_run = found is verdict.Verdict.NOT_RUN
-    naive = twins.retry_at_once(attempt, repeatable, not_run)
+    retried = policy.choose(error, 'c', 'u', attempt, repeatable, 9.0).retry
+    not_run = outcome is verdict.Verdict.NOT_RUN
+    baseline_retried = twins.retry_at_once(attempt, repeatable, not_run)
     if not repeatable and not not_run:
-        assert not ours and not naive
-    assert not ours or naive
+        assert not retried and not baseline_retried
+    assert not retried or baseline_retried
--- a/test/entry/test_fairness.py
+++ b/test/entry/test_fairness.py
@@ -1,4 +1,4 @@
-"""Test the virtual counters and the split of capacity between VMs."""
+"""Test the service counters and the VMs' shares of capacity."""
 
 import random
 
@@ -12,60 +12,60 @@
 
 
 @pytest.mark.parametrize(
-    ('total', 'demands', 'weights', 'given'),
+    ('total', 'demands', 'weights', 'expected'),
     [
         (10, {'a': 3, 'b': 4}, {}, {'a': 3, 'b': 4}),
         (10, {'a': 100, 'b': 100}, {'b': 3}, {'a': 2.5, 'b': 7.5}),
         (10, {'a': 1, 'b': 100, 'c': 5}, {}, {'a': 1, 'b': 4.5, 'c': 4.5}),
         (0, {'a': 1}, {}, {'a': 0}),
     ],
+    ids=['enough', 'weighted', 'small-demand', 'nothing'],
 )
-def test_fill_is_max_min_fair(total, demands, weights, given):
-    found = fairness.max_min_fair(
+def test_weighted_shares_are_max_min_fair(total, demands, weights, expected):
+    shares = fairness.max_min_fair(
         total, demands, lambda name: weights.get(name, 1)
     )
-    assert found == pytest.approx(given)
+    assert shares == pytest.approx(expected)
 
 
-def test_idle_customer_saves_up_nothing():
-    # A customer is away for an hour while another is served. Without a lift
-    # its counter is far behind on its return, and it alone is served until
-    # it has caught up an hour.
+def test_customer_that_was_idle_does_not_shut_out_others():
+    # Without a counter lift, a customer that was idle is served alone until
+    # it has caught up with the others.
     counters = fairness.Counters(lambda name: 1.0)
     for _ in range(1000):
         counters.charge('busy', 100.0)
     counters.lift('back', counters.value('busy'))
-    waiting = fairness.CustomerHeap(counters)
-    waiting.add('busy')
-    waiting.add('back')
-    turns = []
+    heap = fairness.CustomerHeap(counters)
+    heap.add('busy')
+    heap.add('back')
+    served = []
     for _ in range(10):
-        name = waiting.lowest()
+        name = heap.lowest()
         counters.charge(name, 100.0)
-        turns.append(name)
-    assert turns.count('busy') == 5
+        served.append(name)
+    assert served.count('busy') == 5
 
 
 @pytest.mark.parametrize('seed', range(5))
-def test_turns_agree_with_a_plain_search(seed):
+def test_lazy_heap_finds_the_same_customer_as_a_full_search(seed):
     rng = random.Random(seed)
     counters = fairness.Counters(lambda name: 1.0 + ord(name) % 3)
-    turns = fairness.CustomerHeap(counters)
+    heap = fairness.CustomerHeap(counters)
     waiting = set()
     for _ in range(2000):
         name = rng.choice('abcdefgh')
         if rng.random() < 0.2 and name in waiting:
             waiting.discard(name)
-            turns.remove(name)
+            heap.remove(name)
         elif name not in waiting:
             waiting.add(name)
-            turns.add(name)
+            heap.add(name)
         amount = rng.uniform(-30.0, 100.0)
         counters.charge(name, amount)
         if amount < 0.0 and name in waiting:
-            turns.add(name)
-        plain = min(waiting, key=counters.order_key, default=None)
-        assert turns.lowest() == plain
+            heap.add(name)
+        expected = min(waiting, key=counters.order_key, default=None)
+        assert heap.lowest() == expected
 
 
 def make_summary(incarnation, served, waiting=0.0):
@@ -88,12 +88,12 @@
     ('summaries', 'value'),
     [
         ([('x', 100.0), ('x', 150.0)], 50.0),
-        # The same message twice, and one that overtook another.
         ([('x', 100.0), ('x', 150.0), ('x', 150.0)], 50.0),
         ([('x', 100.0), ('x', 150.0), ('x', 120.0), ('x', 150.0)], 50.0),
-        # The peer was replaced and counts from nothing.
+        # A restarted peer counts from zero.
         ([('x', 100.0), ('x', 150.0), ('y', 5.0), ('y', 15.0)], 60.0),
     ],
+    ids=['in-order', 'repeated', 'reordered', 'restarted-peer'],
 )
 def test_merge_counts_what_peers_served_once(summaries, value):
     queue = admission.make_queue('v1', clock=lambda: 0.0)
@@ -104,10 +104,9 @@
 
 
 @pytest.mark.promise
-def test_customers_on_different_vms_stay_within_the_bound(monkeypatch):
-    # One customer's callers reach two VMs, another's the other six, and
-    # both always wait. They meet in no queue; with an uncorrected split one
-    # got ahead by more each minute (1.4 million units after 485 s).
+def test_customers_on_different_vms_do_not_drift_apart(monkeypatch):
+    # Two backlogged customers share no VM, so no queue compares their
+    # counters; only the VMs' shares of capacity can keep them level.
     monkeypatch.setattr(bench, 'RUN_S', 150.0)
     widest = bench.widest_gap('fair', 1, tuple(range(2, 8)), (0, 1))
     assert widest < bench.gap_bound(bench.GAP_WEIGHTS) / 4.0
@@ -116,10 +115,13 @@
 @pytest.mark.parametrize(
     ('heard', 'running'),
     [([], 2), (['v2'], 4), (['v2', 'v3', 'v4'], 8)],
+    ids=['hears-no-peer', 'hears-one-peer', 'hears-all-peers'],
 )
-async def test_cut_off_vm_keeps_to_its_part(autojump_clock, heard, running):
-    # A VM loses its links to its peers but not to the engines. Taking the
-    # others' demand for none, it would fill the whole fleet a second time.
+async def test_vm_cut_off_from_peers_does_not_use_their_shares(
+    autojump_clock, heard, running
+):
+    # A VM loses the links to its peers but not to the engines. If it took
+    # their demand for zero, it would overload the engines.
     queue = admission.make_queue('v1')
     queue.set_vms(['v1', 'v2', 'v3', 'v4'])
     queue.set_capacity('m', 8, 800.0)
@@ -141,13 +143,12 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_short_summaries_tell_every_row_in_time(autojump_clock):
-    # More customers are active than a message holds. Were the same ones
-    # picked each time, peers would never hear of the others and each VM
-    # would give those the share that they already had elsewhere.
+async def test_limited_summaries_send_every_row_in_turn(autojump_clock):
+    # More customers are active than a summary has rows. Guards against
+    # customers whose usage on this VM is never reported to peers.
     queue = admission.make_queue('v1')
     queue.set_capacity('m', 100, 1000.0)
-    told = set()
+    reported = set()
     for number in range(35):
         item = work.Work(f'r{number}', f'c{number}', 'm', 100, 0, 1e6)
         async with queue.admit(item):
@@ -155,5 +156,5 @@
     for _ in range(4):
         rows = queue.summary(10)['rows']
         assert len(rows) <= 10
-        told.update(row['customer'] for row in rows)
-    assert len(told) == 35
+        reported.update(row['customer'] for row in rows)
+    assert len(reported) == 35
--- a/test/entry/test_routing.py
+++ b/test/entry/test_routing.py
@@ -1,4 +1,4 @@
-"""Test the choice of upstreams under late and partial knowledge."""
+"""Test the choice of upstreams with stale and incomplete information."""
 
 import collections
 
@@ -45,14 +45,20 @@
 @pytest.mark.parametrize(
     ('started_s', 'reported', 'others'),
     [
-        # The report is of 9.0; our 3000 tokens were sent before or after.
+        # The report was made at 9.0; the request was sent before or after.
         (8.5, 3000, 0),
         (8.5, 5000, 2000),
         (9.5, 0, 0),
         (9.5, 2000, 2000),
     ],
+    ids=[
+        'sent-before-alone',
+        'sent-before-with-others',
+        'sent-after-alone',
+        'sent-after-with-others',
+    ],
 )
-def test_late_report_does_not_count_own_work_twice(
+def test_delayed_report_does_not_count_own_requests_twice(
     started_s, reported, others
 ):
     view = upstream_load.UpstreamLoad()
@@ -69,15 +75,14 @@
     assert view.others_prefill_tokens == 100
 
 
-def test_entries_with_one_stale_report_do_not_herd():
-    # Callers see waits of seconds at one engine while others idle: eight
-    # entries read the same report, in which one engine is idle, and all send
-    # to it until the next report. The least-loaded twin shows it.
+def test_entry_processes_with_the_same_stale_report_do_not_herd():
+    # Eight entry processes read the same report, in which one engine is
+    # idle. The least-loaded baseline sends all requests to that one.
     busiest = {}
-    for arm in ('ours', 'twin'):
+    for kind in ('router', 'baseline'):
         counts = collections.Counter()
         for vm in range(8):
-            if arm == 'ours':
+            if kind == 'router':
                 router = make_router(make_infos(10), f'vm-{vm}')
             else:
                 router = baselines.LeastLoadedRouter(f'vm-{vm}', 7)
@@ -90,12 +95,12 @@
                 choice = router.choose(work, 10.0, NONE)
                 router.started(choice, work, 10.0)
                 counts[choice.upstream] += 1
-        busiest[arm] = max(counts.values())
-    assert busiest['twin'] == 80
-    assert busiest['ours'] <= 24
+        busiest[kind] = max(counts.values())
+    assert busiest['baseline'] == 80
+    assert busiest['router'] <= 24
 
 
-def test_shared_prefix_stays_together_until_its_queue_costs_more():
+def test_shared_prefix_stays_on_one_engine_until_its_queue_costs_more():
     routers = [make_router(make_infos(5), f'vm-{vm}') for vm in range(8)]
     work = make_work('first', BLOCKS)
     home = routers[0].choose(work, 0.0, NONE)
@@ -105,15 +110,15 @@
     again = routers[0].choose(make_work('again', BLOCKS), 1.0, NONE)
     assert again.upstream == home.upstream
     assert again.inputs['cached_tokens'] == 4096
-    # 20,000 tokens before it are two seconds; reading 4,096 again is half.
+    # A queue of 20,000 tokens takes 2 s; another prefill of 4,096 takes less.
     routers[0].on_load(home.upstream, report(4, 20000, 0.1), 1.1)
     moved = routers[0].choose(make_work('moved', BLOCKS), 1.1, NONE)
     assert moved.upstream != home.upstream
 
 
-def test_trust_in_the_index_follows_what_engines_return():
-    # Removal events are lost, so the index goes on to expect 4,096 cached
-    # tokens that the engine reads anew each time.
+def test_cache_hits_that_never_occur_are_no_longer_expected():
+    # Removal events were lost, so the index still holds 4,096 tokens that
+    # the engine does not have cached.
     router = make_router(make_infos(1))
     expected = []
     for number in range(30):
@@ -126,7 +131,7 @@
     assert expected[-1] < 400
 
 
-def test_removal_event_is_believed_although_others_were_lost():
+def test_removal_event_counts_although_earlier_events_were_lost():
     router = make_router(make_infos(1))
     work = make_work('r', BLOCKS)
     choice = router.choose(work, 0.0, NONE)
@@ -137,9 +142,9 @@
     assert again.inputs['cached_tokens'] == 640
 
 
-def test_engine_that_fails_fast_does_not_look_idle():
-    # Callers see errors from one engine: each failure ends at once, so it
-    # has the least in flight and the next request goes there too.
+def test_engine_that_fails_fast_is_not_preferred_for_its_low_load():
+    # Failed requests end at once, so a failing engine has the fewest in
+    # flight.
     router = make_router(make_infos(2))
     chosen = collections.Counter()
     for number in range(100):
@@ -151,14 +156,14 @@
         if choice.upstream == 'e0':
             router.finished(choice, work, now_s + 0.001, 0, 0, True)
     assert chosen['e0'] <= 5
-    # Long after, it is tried again.
+    # Its failure rate has decayed, so it is tried again.
     work = make_work('late')
     assert router.choose(work, 100.0, NONE).upstream == 'e0'
 
 
-def test_engine_that_changes_its_role_is_not_chosen_for_being_idle():
-    # Callers see retries and late answers for seconds: an engine that is
-    # away for a role change reports no load, looks best, and refuses.
+def test_engine_that_changes_its_role_is_not_chosen():
+    # During the change it is idle, which makes it the best by load, but it
+    # refuses requests.
     router = make_router(make_infos(2))
     router.on_load('e0', {**report(), 'state': 'changing'}, 1.0)
     router.on_load('e1', {**report(20, 9000), 'state': 'serving'}, 1.0)
@@ -177,9 +182,10 @@
         lambda: baselines.RoundRobinRouter('vm-0', 7),
         lambda: baselines.LeastLoadedRouter('vm-0', 7),
     ],
+    ids=['router', 'random', 'round-robin', 'least-loaded'],
 )
 @pytest.mark.parametrize('count', [0, 1, 2, 3, 5, 100])
-def test_no_arm_chooses_what_is_excluded_draining_or_without_the_model(
+def test_upstream_excluded_draining_or_without_the_model_is_not_chosen(
     make, count
 ):
     router = make()
@@ -201,10 +207,9 @@
         router.started(choice, work, number * 0.01)
 
 
-def test_ordered_role_is_followed_before_the_configured_one():
-    # The planner has an engine read prompts only. Its object still says
-    # mixed, so entries went on to send it whole requests and none of its
-    # prompts elsewhere: the order changed nothing but for the worse.
+def test_reported_role_takes_precedence_over_the_configured_one():
+    # The planner changed an engine's role to prefill, but its configuration
+    # still says mixed.
     router = routing.make_router('vm', 'd0', split=True)
     infos = make_infos(2)
     router.set_upstreams(infos)
@@ -222,5 +227,5 @@
         work = make_work('r')._replace(prompt_tokens=8000)
         choice = router.choose(work, 0.1, NONE)
         assert (choice.prefill_upstream, choice.upstream) == ('e0', 'e1')
-        # Any change of the configuration takes the old role along.
+        # Each change of the configuration brings the old role again.
         router.set_upstreams(infos)
--- a/test/entry/test_service_times.py
+++ b/test/entry/test_service_times.py
@@ -10,10 +10,11 @@
 @pytest.mark.parametrize(
     ('prompt_s', 'output_s', 'slowdown'),
     [
-        pytest.param(0.0002, 0.03, 1.0, id='output-much-slower'),
-        pytest.param(0.001, 0.004, 1.0, id='output-slightly-slower'),
-        pytest.param(0.0002, 0.03, 4.0, id='engines-slow-down'),
+        (0.0002, 0.03, 1.0),
+        (0.001, 0.004, 1.0),
+        (0.0002, 0.03, 4.0),
     ],
+    ids=['output-much-slower', 'output-slightly-slower', 'engines-slow-down'],
 )
 def test_long_prompt_is_not_estimated_at_the_cost_of_output_tokens(
     prompt_s, output_s, slowdown
