--- a/test/control/test_authority.py
+++ b/test/control/test_authority.py
@@ -1,4 +1,4 @@
-"""Explore leases and orders under seeded failures, on the real code."""
+"""Test leases and orders under seeded random failures."""
 
 import pytest
 import trio
@@ -10,16 +10,16 @@
 from standins import chaos
 from standins import checkers
 
-TERMS = lease.LeaseTiming(12.0, 1.0)
-LIFETIME_S = 6.0
-TIMEOUT_S = 1.0
+TIMING = lease.LeaseTiming(12.0, 1.0)
+ORDER_LIFETIME_S = 6.0
+CALL_TIMEOUT_S = 1.0
 SCOPES = ('north', 'south')
 RUN_S = 900.0
 CHANCES = chaos.Chances()
 
 
-class Control:
-    """One control process that orders engines as long as it may."""
+class ControlProcess:
+    """A control process that sends orders while it has authority."""
 
     def __init__(self, world, name, engines, chances):
         self.world = world
@@ -27,32 +27,32 @@
         self.store = chaos.ChaosStore(self.process)
         self.engines = engines
         self.client = chaos.ChaosOrders(
-            self.process, engines, LIFETIME_S, TIMEOUT_S
+            self.process, engines, ORDER_LIFETIME_S, CALL_TIMEOUT_S
         )
         self.orders = engine_orders.make_engine_orders(
             self.store,
             self.client,
             self.process.clock,
-            LIFETIME_S,
+            ORDER_LIFETIME_S,
         )
         self.upstream_orders = upstream_orders.make_upstream_orders(
             self.store,
-            chaos.ChaosPlatform(self.process, LIFETIME_S),
-            LIFETIME_S,
+            chaos.ChaosPlatform(self.process, ORDER_LIFETIME_S),
+            ORDER_LIFETIME_S,
         )
-        self.leases = lease.make_lease_manager(
-            self.store, name, self.process.clock, TERMS
+        self.lease_manager = lease.make_lease_manager(
+            self.store, name, self.process.clock, TIMING
         )
 
-    async def role(self, authority):
+    async def use_authority(self, authority):
         while True:
             await trio.sleep(self.world.random.uniform(0, 3.0))
-            self.act(authority)
-            await self.order_one(authority)
+            self.record_act(authority)
+            await self.order_engine(authority)
             if self.process.chance(0.3):
                 await self.order_upstream(authority)
 
-    def act(self, authority):
+    def record_act(self, authority):
         try:
             authority.check()
         except errors.LeaseLostError:
@@ -64,7 +64,7 @@
             epoch=authority.epoch,
         )
 
-    async def order_one(self, authority):
+    async def order_engine(self, authority):
         names = [n for n in self.engines if n.startswith(authority.scope)]
         engine = self.engines[self.world.random.choice(names)]
         target = engine_orders.EngineTarget(
@@ -87,18 +87,22 @@
             pass
 
     async def run(self):
-        await self.leases.run(lambda: dict.fromkeys(SCOPES, self.role))
+        await self.lease_manager.run(
+            lambda: dict.fromkeys(SCOPES, self.use_authority)
+        )
 
 
-async def live(world, name, engines, chances, deadman):
-    """Start a process, crash it after some time, and so on."""
-    generation = 0
+async def run_with_crashes(world, name, engines, chances, deadman):
+    """Start a process, crash it after some time, and repeat."""
+    start_number = 0
     while True:
-        generation += 1
+        start_number += 1
         with trio.move_on_after(world.random.uniform(20.0, 200.0)):
-            control = Control(world, f'{name}.{generation}', engines, chances)
-            # A crash does not run the code that releases leases.
-            control.leases._release = _crash
+            control = ControlProcess(
+                world, f'{name}.{start_number}', engines, chances
+            )
+            # A crashed process does not release its leases.
+            control.lease_manager._release = _skip_release
             control.client.deadman = deadman
             try:
                 await control.run()
@@ -107,12 +111,12 @@
         await trio.sleep(world.random.uniform(0, 5.0))
 
 
-async def _crash(authority):
-    """Do nothing in place of the release."""
+async def _skip_release(authority):
+    """Replace LeaseManager._release, which a crash does not run."""
 
 
 async def explore(seed, chances=CHANCES, deadman=True, freeze_s=0.0):
-    """Run three processes over four engines; return the world."""
+    """Run three processes that order four engines; return the world."""
     async with trio.open_nursery() as nursery:
         world = chaos.World(seed, nursery)
         engines = {
@@ -125,7 +129,9 @@
             if freeze_s:
                 nursery.start_soon(engine.run_freezes, freeze_s)
         for name in ('a', 'b', 'c'):
-            nursery.start_soon(live, world, name, engines, chances, deadman)
+            nursery.start_soon(
+                run_with_crashes, world, name, engines, chances, deadman
+            )
         with trio.move_on_after(RUN_S):
             while True:
                 await trio.sleep(world.random.uniform(30.0, 120.0))
@@ -136,31 +142,30 @@
     return world
 
 
-def acts_out_of_order(events):
-    """Return acts of an epoch after one of a newer epoch of its scope."""
+def find_stale_acts(events):
+    """Return the acts that follow one of a newer epoch of their scope."""
     highest = {}
-    breaches = []
+    stale_acts = []
     for event in events:
         if event.type == 'act':
             scope, epoch = event.data['scope'], event.data['epoch']
             if epoch < highest.get(scope, 0):
-                breaches.append(event)
+                stale_acts.append(event)
             highest[scope] = max(epoch, highest.get(scope, 0))
-    return breaches
+    return stale_acts
 
 
 @pytest.mark.promise
 @pytest.mark.parametrize('seed', range(12))
 async def test_no_order_of_lapsed_authority_takes_effect(seed, autojump_clock):
-    """Holders are paused, killed and cut off while they order engines.
+    """Holders are paused, killed and partitioned while they order engines.
 
-    Engines restart and forget what they were told. The store refuses,
-    loses requests and answers, applies writes late and answers from the
-    past. A successor orders the same engines; an engine must never hold an
-    older order after a newer, nor take one of an epoch that is over.
+    Engines restart and lose their state. The store fails, loses requests and
+    responses, applies writes late and returns stale reads. No engine may
+    apply an older order after a newer one, or one of a past epoch.
     """
     world = await explore(seed)
-    assert acts_out_of_order(world.events) == []
+    assert find_stale_acts(world.events) == []
     assert checkers.check_conflicting_orders(world.events) == []
     assert checkers.check_stale_orders(world.events) == []
     assert checkers.check_upstream_orders(world.events) == []
@@ -175,40 +180,39 @@
 async def test_stopped_engine_never_holds_conflicting_orders(
     seed, autojump_clock
 ):
-    """Engines are stopped for up to a minute with an order not yet read.
+    """Engines are stopped for up to a minute with an unread order.
 
-    When one goes on, it reads the old order after a successor has asked it
-    for its last one. The old order may take effect late then, as a stopped
-    engine cannot be fenced, but never after an order of the successor.
+    A stopped engine can't be fenced, so the order may take effect late once
+    it resumes, but never after an order of the successor.
     """
     world = await explore(seed, freeze_s=60.0)
-    assert acts_out_of_order(world.events) == []
+    assert find_stale_acts(world.events) == []
     assert checkers.check_conflicting_orders(world.events) == []
 
 
 @pytest.mark.promise
-async def test_without_the_timer_a_frozen_holder_does_harm(autojump_clock):
-    """A holder is frozen between its check and its send, and wakes.
+async def test_checkers_find_stale_orders_without_the_timer(autojump_clock):
+    """A holder is paused between its check and its send, then resumes.
 
-    No check can come late enough. Without the kernel's timer its order
-    reaches the engine after another has taken over.
+    Without the kernel timer that ends it, its order reaches the engine after
+    a takeover, and the checkers must report that.
     """
-    found = []
+    stale_orders = []
     for seed in range(4):
         world = await explore(seed, deadman=False)
-        found += checkers.check_stale_orders(world.events)
-    assert found
+        stale_orders += checkers.check_stale_orders(world.events)
+    assert stale_orders
 
 
 @pytest.mark.promise
 @pytest.mark.parametrize('seed', range(6))
 async def test_order_under_way_ends_before_the_lease(seed, autojump_clock):
-    """A holder's renewals get lost while its other calls go through.
+    """A holder's renewals are lost while its other calls succeed.
 
-    It orders engines to the last moment, over a slow network. No order may
-    arrive after another has taken over, so none is sent that could.
+    It sends orders over a slow network until its lease lapses. No order may
+    arrive after a takeover.
     """
-    calm = chaos.Chances(0.01, 0, 0, 0, 0, 0, 0, 0)
+    few_failures = chaos.Chances(0.01, 0, 0, 0, 0, 0, 0, 0)
     async with trio.open_nursery() as nursery:
         world = chaos.World(seed, nursery)
         engines = {
@@ -216,10 +220,10 @@
             for name in ('north-old', 'south-old')
         }
         for name in ('a', 'b'):
-            control = Control(world, name, engines, calm)
-            control.client.chances = calm._replace(late=1.0)
+            control = ControlProcess(world, name, engines, few_failures)
+            control.client.chances = few_failures._replace(late=1.0)
             nursery.start_soon(control.run)
-            nursery.start_soon(cut_now_and_then, control)
+            nursery.start_soon(cut_renewals_repeatedly, control)
         await trio.sleep(RUN_S)
         nursery.cancel_scope.cancel()
     assert checkers.check_stale_orders(world.events) == []
@@ -227,7 +231,7 @@
     assert len({e.data['epoch'] for e in world.events if e.type == 'act'}) > 9
 
 
-async def cut_now_and_then(control):
+async def cut_renewals_repeatedly(control):
     while True:
         control.store.cut_kinds = set()
         await trio.sleep(control.world.random.uniform(5.0, 60.0))
--- a/test/control/test_main.py
+++ b/test/control/test_main.py
@@ -1,4 +1,4 @@
-"""Test gentianstair-control as processes."""
+"""Test gentianstair-control processes."""
 
 import signal
 import time
@@ -35,21 +35,21 @@
         if found:
             return found
         time.sleep(0.05)
-    raise AssertionError('not within the limit')
+    raise AssertionError(f'the condition was not met within {limit_s:g} s')
 
 
-def put(platform, kind, name, value):
+def put_object(platform, kind, name, value):
     url = f'{platform.url}/v1/objects/{kind}/{name}'
     version = httpx.get(url).json()['version']
     params = {'expect_version': version}
     httpx.put(url, params=params, json=value).raise_for_status()
 
 
-def held(process):
+def held_scopes(process):
     return httpx.get(f'{process.url}/readyz').json()['held']
 
 
-def orders(engine):
+def received_orders(engine):
     events = httpx.get(f'{engine.url}/switch/history').json()['events']
     found = [event for event in events if event['type'] == 'order']
     return [(e['data']['type'], e['data']['applied']) for e in found]
@@ -58,50 +58,56 @@
 @pytest.mark.promise
 @pytest.mark.process
 def test_holder_is_killed_stopped_and_replaced(tmp_path):
-    """An operator drains an engine while control processes come and go.
+    """An operator drains an engine while control processes fail.
 
-    The holder is killed with no time to say so, the next is paused past
-    its lease and wakes, the last is stopped. The engine is drained once,
-    undrained once, and authority never waits for an operator.
+    The first holder is killed, the second is paused past its lease and
+    resumed, the third is stopped. The engine must be drained once and
+    undrained once, and each takeover must happen without an operator.
     """
-    run = fleet.Fleet(tmp_path)
+    processes = fleet.Fleet(tmp_path)
     try:
-        platform = run.start('platform', 'standins.platform')
-        engine = run.start('engine', 'standins.engine', '--ignores-fencing')
+        platform = processes.start('platform', 'standins.platform')
+        engine = processes.start(
+            'engine', 'standins.engine', '--ignores-fencing'
+        )
         common = (*FLAGS, f'--platform-url={platform.url}')
         put_upstream(platform, engine, 'active')
-        first = start(run, 'a', common)
-        wait_for(lambda: len(held(first)) == 2)
+        first = start(processes, 'a', common)
+        wait_for(lambda: len(held_scopes(first)) == 2)
         put_upstream(platform, engine, 'draining')
-        wait_for(lambda: orders(engine) == [('drain', True)])
-        run.kill('a')
-        second = start(run, 'b', common)
-        wait_for(lambda: 'engines-north' in held(second))
+        wait_for(lambda: received_orders(engine) == [('drain', True)])
+        processes.kill('a')
+        second = start(processes, 'b', common)
+        wait_for(lambda: 'engines-north' in held_scopes(second))
         second.send(signal.SIGSTOP)
-        third = start(run, 'c', common)
+        third = start(processes, 'c', common)
         put_upstream(platform, engine, 'active')
-        wait_for(lambda: 'engines-north' in held(third))
-        wait_for(lambda: orders(engine)[1:] == [('undrain', True)])
+        wait_for(lambda: 'engines-north' in held_scopes(third))
+        wait_for(lambda: received_orders(engine)[1:] == [('undrain', True)])
         second.send(signal.SIGCONT)
         time.sleep(1.0)
-        assert len(orders(engine)) == 2
-        # Read twice, as a scope may be handed over between two reads.
-        before, other, after = held(second), held(third), held(second)
+        assert len(received_orders(engine)) == 2
+        # Read twice, as a scope may be handed over between the reads.
+        before, other, after = (
+            held_scopes(second),
+            held_scopes(third),
+            held_scopes(second),
+        )
         assert not before.keys() & other.keys() & after.keys()
-        began_s = time.monotonic()
-        assert run.stop('c') == 0
-        wait_for(lambda: len(held(second)) == 2)
-        print(f'handed over in {time.monotonic() - began_s:.2f} s')
+        stopped_s = time.monotonic()
+        assert processes.stop('c') == 0
+        wait_for(lambda: len(held_scopes(second)) == 2)
+        print(f'handed over in {time.monotonic() - stopped_s:.2f} s')
     finally:
-        run.stop_all()
+        processes.stop_all()
 
 
-def start(run, name, common):
-    return run.start(
+def start(processes, name, common):
+    return processes.start(
         name, 'gentianstair.control.main', f'--vm-name={name}', *common
     )
 
 
 def put_upstream(platform, engine, state):
     value = {**UPSTREAM, 'url': engine.url, 'state': state}
-    put(platform, 'upstream', 'engine', value)
+    put_object(platform, 'upstream', 'engine', value)
--- a/test/control/test_planning.py
+++ b/test/control/test_planning.py
@@ -1,4 +1,4 @@
-"""Test what the role planner is told, and that its orders go out."""
+"""Test that the planning duty derives demand and orders role changes."""
 
 import types
 
@@ -15,15 +15,15 @@
 ENGINES = 6
 
 
-class Orders:
+class RecordedOrders:
     def __init__(self):
-        self.given = []
+        self.sent = []
 
     async def order(self, authority, engine, type_, argument):
-        self.given.append((engine.name, type_, argument))
+        self.sent.append((engine.name, type_, argument))
 
 
-def engine_answer(request):
+def engine_response(request):
     body = {'role': 'mixed', 'state': 'serving', 'running': 1}
     return httpx.Response(200, json=body)
 
@@ -44,7 +44,7 @@
         }
         item = stores.StoredObject('upstream', f'e-{number}', 1, value)
         view.apply([item])
-    transport = httpx.MockTransport(engine_answer)
+    transport = httpx.MockTransport(engine_response)
     return types.SimpleNamespace(
         clock=trio.current_time,
         store=store,
@@ -56,7 +56,7 @@
 
 async def test_shift_to_long_prompts_orders_a_prefill_engine(autojump_clock):
     store = memory_store.MemoryStore()
-    orders = Orders()
+    orders = RecordedOrders()
     context = make_context(store, orders)
     counts = usage.make_usage(
         store, 'vm', trio.current_time, usage.Terms(60.0, 1.0, 10**9)
@@ -74,5 +74,5 @@
         await counts.flush()
         await duty.run_once(context, authority)
         await trio.sleep(planning.PLAN_INTERVAL_S)
-    assert orders.given
-    assert orders.given[0][1:] == ('set_role', 'prefill')
+    assert orders.sent
+    assert orders.sent[0][1:] == ('set_role', 'prefill')
--- a/test/control/test_role_planner.py
+++ b/test/control/test_role_planner.py
@@ -1,4 +1,4 @@
-"""Test the planning of prefill and mixed roles."""
+"""Test when the planner changes prefill and mixed roles."""
 
 import pytest
 
@@ -25,38 +25,40 @@
     return found
 
 
-def feed(planner, begin_s, end_s, requests_per_s, prompt, output):
+def add_requests(planner, begin_s, end_s, requests_per_s, prompt, output):
     for tick in range(int(begin_s), int(end_s)):
         for number in range(requests_per_s):
-            at_s = tick - 1 + (number + 0.5) / requests_per_s
-            planner.observe(at_s, prompt, output, prompt)
+            arrival_s = tick - 1 + (number + 0.5) / requests_per_s
+            planner.observe(arrival_s, prompt, output, prompt)
 
 
 def first_change(planner, views, begin_s, end_s, **work):
     for tick in range(begin_s, end_s):
-        feed(planner, tick, tick + 1, **work)
+        add_requests(planner, tick, tick + 1, **work)
         found = planner.plan(views, float(tick))
         if found:
             return tick, found
     return None, []
 
 
-READING = {'requests_per_s': 7, 'prompt': 3600, 'output': 160}
-MANY_DRAFTS = {'requests_per_s': 24, 'prompt': 500, 'output': 320}
-DRAFTING = {'requests_per_s': 12, 'prompt': 500, 'output': 320}
+LONG_PROMPTS = {'requests_per_s': 7, 'prompt': 3600, 'output': 160}
+MANY_OUTPUTS = {'requests_per_s': 24, 'prompt': 500, 'output': 320}
+LONG_OUTPUTS = {'requests_per_s': 12, 'prompt': 500, 'output': 320}
 
 
 @pytest.mark.parametrize(
     ('work', 'views', 'role', 'name'),
     [
-        # More reading than mixed engines take: the least busy one changes.
-        (READING, make_views(0, 5), 'prefill', 'm0'),
-        # More drafts than two engines make: a prefill engine goes back.
-        (MANY_DRAFTS, make_views(3, 2), 'mixed', 'p0'),
-        (DRAFTING, make_views(1, 4), None, None),
-        # One change at a time.
-        (READING, make_views(0, 4, 1), None, None),
+        # Mixed engines can't prefill all prompts: the least busy one changes.
+        (LONG_PROMPTS, make_views(0, 5), 'prefill', 'm0'),
+        # Two mixed engines can't decode all output: a prefill one changes.
+        (MANY_OUTPUTS, make_views(3, 2), 'mixed', 'p0'),
+        # These counts suit the mix.
+        (LONG_OUTPUTS, make_views(1, 4), None, None),
+        # One engine changes its role already.
+        (LONG_PROMPTS, make_views(0, 4, 1), None, None),
     ],
+    ids=['prompts', 'outputs', 'balanced', 'already-changing'],
 )
 def test_role_follows_the_mix(work, views, role, name):
     planner = role_planner.make_planner()
@@ -65,32 +67,32 @@
     assert found == ([(role, name)] if role else [])
 
 
-def test_change_never_takes_what_carries_current_work():
-    # Drafts fill three mixed engines of five; a burst of reading would have
-    # one more leave, and every running draft would be late.
+def test_no_mixed_engine_that_decode_needs_becomes_prefill():
+    # Decode fills three mixed engines of five. A burst of long prompts must
+    # not take one of them, or all running sequences would be late.
     planner = role_planner.make_planner()
-    feed(planner, 0, 30, 14, 900, 700)
-    feed(planner, 20, 30, 5, 3600, 100)
+    add_requests(planner, 0, 30, 14, 900, 700)
+    add_requests(planner, 20, 30, 5, 3600, 100)
     views = make_views(2, 3)
     for tick in range(30, 60):
-        feed(planner, tick, tick + 1, 14, 900, 700)
-        feed(planner, tick, tick + 1, 5, 3600, 100)
+        add_requests(planner, tick, tick + 1, 14, 900, 700)
+        add_requests(planner, tick, tick + 1, 5, 3600, 100)
         for change in planner.plan(views, float(tick)):
             assert change.role != 'prefill'
 
 
-def test_mix_that_swings_each_second_changes_few_roles():
+def test_alternating_mix_does_not_make_roles_flap():
     planner = role_planner.make_planner()
     views = make_views(2, 3)
     changes = []
     for tick in range(120):
-        work = READING if tick % 2 else DRAFTING
-        feed(planner, tick, tick + 1, **work)
+        work = LONG_PROMPTS if tick % 2 else LONG_OUTPUTS
+        add_requests(planner, tick, tick + 1, **work)
         changes += planner.plan(views, float(tick))
     assert len(changes) <= 1
 
 
-def test_average_tells_the_rate_from_its_start():
+def test_average_is_not_too_low_right_after_the_start():
     average = demand.DemandAverage(10.0)
     for tick in range(40):
         average.add(tick * 0.5, 100, 50, 80)
@@ -102,7 +104,9 @@
 
 @pytest.mark.parametrize('prompt_share', [0.2, 0.7])
 @pytest.mark.parametrize('replicas', [5, 6, 40])
-def test_planner_of_a_steady_mix_settles(prompt_share, replicas):
+def test_best_counts_for_a_steady_mix_are_not_overloaded(
+    prompt_share, replicas
+):
     part = shifts.reading_part(prompt_share)
     rate = shifts.requests_per_s(prompt_share, 0.8) * replicas
     context = shifts.READING.prompt_tokens * part
@@ -118,9 +122,9 @@
     assert plan.mixed >= replicas * 0.3
 
 
-def test_shift_bench_loses_no_request_through_role_changes():
-    # A role change takes an engine away; a request sent to it meanwhile
-    # must be refused as not started and served elsewhere, none cut.
+def test_role_changes_in_the_shift_bench_lose_no_request():
+    # A request sent to an engine that changes its role must be refused as
+    # not run and served elsewhere.
     phases = shift.make_phases(0.5, 6.0)
     arm = shift.ARMS['oracle']
     run, executor = shift.fleet.run_simulated(
--- a/test/control/test_usage_sealer.py
+++ b/test/control/test_usage.py
@@ -1,4 +1,4 @@
-"""Explore usage counting, sealing and reporting under seeded failures."""
+"""Test usage counting, sealing and reporting under random failures."""
 
 import collections
 
@@ -8,7 +8,7 @@
 from gentianstair import errors
 from gentianstair import verdict
 from gentianstair.control import lease
-from gentianstair.control import usage_sealer as control_usage
+from gentianstair.control import usage_sealer
 from gentianstair.entry import usage as entry_usage
 from gentianstair.store import store as stores
 from standins import chaos
@@ -17,9 +17,9 @@
 
 WINDOW_S = 10.0
 ENTRY_TERMS = entry_usage.Terms(WINDOW_S, 1.0, 500)
-CONTROL_TERMS = control_usage.SealTiming(WINDOW_S, 0.0, 0.5)
-RUN_S = 200.0
-SETTLE_S = 150.0
+SEAL_TIMING = usage_sealer.SealTiming(WINDOW_S, 0.0, 0.5)
+COUNTING_S = 200.0
+SEALING_S = 150.0
 CHANCES = chaos.Chances(pause=0.003, pause_s=25.0)
 SEALER_CHANCES = CHANCES._replace(pause=0.05, pause_s=15.0, lose_answer=0.2)
 CUSTOMERS = ('burlwood', 'bluebonnet')
@@ -27,7 +27,7 @@
 
 
 class Reports:
-    """The platform's interface for reports, over a bad network."""
+    """The platform's report endpoint over an unreliable network."""
 
     def __init__(self, process):
         self.process = process
@@ -43,7 +43,7 @@
             raise errors.UpstreamError('lost', verdict.Verdict.MAY_HAVE_RUN)
 
 
-def total(rows):
+def sum_tokens(rows):
     counts = collections.Counter()
     for row in rows:
         key = (row['customer'], row['upstream_kind'])
@@ -51,8 +51,8 @@
     return counts
 
 
-async def serve(world, name, served, lost):
-    """Run an entry that counts, kill it, and so on; note what it lost."""
+async def run_entry(world, name, served, killed):
+    """Run an entry, kill it after some time, and repeat."""
     while True:
         with trio.move_on_after(world.random.uniform(5.0, 90.0)):
             async with trio.open_nursery() as nursery:
@@ -64,15 +64,15 @@
                     ENTRY_TERMS,
                 )
                 nursery.start_soon(counts.run)
-                nursery.start_soon(count, world, counts, served)
+                nursery.start_soon(count_requests, world, counts, served)
                 await trio.sleep_forever()
-        lost.append(counts)
-        if trio.current_time() > RUN_S:
+        killed.append(counts)
+        if trio.current_time() > COUNTING_S:
             return
 
 
-async def count(world, counts, served):
-    while trio.current_time() < RUN_S:
+async def count_requests(world, counts, served):
+    while trio.current_time() < COUNTING_S:
         await trio.sleep(world.random.uniform(0.0, 0.2))
         customer = world.random.choice(CUSTOMERS)
         kind = world.random.choice(KINDS)
@@ -81,17 +81,17 @@
         served[(customer, kind)] += tokens
 
 
-async def seal(world, name, epoch):
-    """Seal and report, sure of being in charge as others are too."""
+async def run_sealer(world, name, epoch):
+    """Seal and report with authority that other sealers have as well."""
     while True:
         with trio.move_on_after(world.random.uniform(10.0, 100.0)):
             process = chaos.Process(world, name, SEALER_CHANCES)
-            sealer = control_usage.make_sealer(
+            sealer = usage_sealer.make_sealer(
                 chaos.ChaosStore(process),
                 Reports(process),
                 trio.current_time,
                 process.clock,
-                CONTROL_TERMS,
+                SEAL_TIMING,
             )
             authority = lease.Authority('usage', name, epoch, process.clock)
             authority.valid_until_s = float('inf')
@@ -104,69 +104,69 @@
 
 
 async def explore(seed):
-    """Return the world, what was served, and the entries that were killed."""
+    """Return the world, the served tokens and the killed entries' counts."""
     served = collections.Counter()
     killed = []
     async with trio.open_nursery() as nursery:
         world = chaos.World(seed, nursery)
         for name in ('c-1', 'c-2'):
-            nursery.start_soon(seal, world, name, 1)
+            nursery.start_soon(run_sealer, world, name, 1)
         async with trio.open_nursery() as entries:
             for name in ('vm-1', 'vm-2', 'vm-3'):
-                entries.start_soon(serve, world, name, served, killed)
-        await trio.sleep(SETTLE_S)
+                entries.start_soon(run_entry, world, name, served, killed)
+        await trio.sleep(SEALING_S)
         nursery.cancel_scope.cancel()
     return world, served, killed
 
 
-def billed(events):
-    """Return what all reports bill, each window once."""
+def billed_tokens(events):
+    """Return the tokens in all reports, counting each window once."""
     first = {}
     for event in events:
         if event.type == 'usage-report':
             first.setdefault(event.data['window'], event.data)
     counts = collections.Counter()
     for data in first.values():
-        counts += total(data['rows']) + total(data['late'])
+        counts += sum_tokens(data['rows']) + sum_tokens(data['late'])
     return counts
 
 
-def stored(world):
-    """Return what the entries' objects in the store count."""
+def counted_tokens(world):
+    """Return the tokens in the entries' stored counts."""
     counts = collections.Counter()
     for item in world.table.list(entry_usage.KIND).objects:
-        counts += total(item.value['rows'])
+        counts += sum_tokens(item.value['rows'])
     return counts
 
 
-def lost_tokens(killed):
+def unflushed_tokens(killed):
     return sum(counts.unflushed_tokens for counts in killed)
 
 
-def check(world, served, killed):
-    """Return what is wrong with the bill."""
-    wrong = checkers.check_double_reports(world.events)
-    bill = billed(world.events)
-    wrong += [f'{key} billed too much' for key in bill - served]
-    missing = sum((served - bill).values())
-    if missing > lost_tokens(killed):
-        wrong.append(f'{missing} unbilled, {lost_tokens(killed)} unflushed')
-    return wrong
+def find_billing_errors(world, served, killed):
+    """Return descriptions of double, excess and missing billing."""
+    billing_errors = checkers.check_double_reports(world.events)
+    billed = billed_tokens(world.events)
+    billing_errors += [f'{key} billed too much' for key in billed - served]
+    missing = sum((served - billed).values())
+    if missing > unflushed_tokens(killed):
+        billing_errors.append(
+            f'{missing} unbilled, {unflushed_tokens(killed)} unflushed'
+        )
+    return billing_errors
 
 
 @pytest.mark.promise
 @pytest.mark.parametrize('seed', range(8))
-async def test_usage_is_billed_once_and_nothing_kept_is_lost(
-    seed, autojump_clock
-):
-    """Entries are killed and paused while two sealers both feel in charge.
+async def test_flushed_usage_is_billed_exactly_once(seed, autojump_clock):
+    """Entries are killed and paused while two sealers have authority.
 
-    Late counts come after their window was sealed, reports are lost and
-    repeated. No window has two figures, no token is billed twice, and what
-    is not billed was never flushed by an entry that was killed.
+    Counts arrive after their window was sealed, reports are lost and
+    repeated. No window may be reported with different counts and no token
+    billed twice; only tokens that a killed entry did not flush are lost.
     """
     world, served, killed = await explore(seed)
-    assert check(world, served, killed) == []
+    assert find_billing_errors(world, served, killed) == []
     reports = [e for e in world.events if e.type == 'usage-report']
     assert len({e.data['window'] for e in reports}) > 15
     assert any(e.data['late'] for e in reports)
@@ -174,7 +174,7 @@
 
 @pytest.mark.promise
 async def test_late_count_is_marked_late(autojump_clock):
-    """An entry is paused, its window is sealed, then its counts arrive."""
+    """A paused entry's counts arrive after their window was sealed."""
     store = memory_store.MemoryStore()
     table = store.table
 
@@ -193,8 +193,8 @@
         item = stores.StoredObject('usage', 'v.1', 1, value)
         return stores.Listing(table.revision + 1, [item])
 
-    first = control_usage.make_seal(1, None, listing(row(1, 5)))
-    second = control_usage.make_seal(
+    first = usage_sealer.make_seal(1, None, listing(row(1, 5)))
+    second = usage_sealer.make_seal(
         2, first, listing(row(1, 9), row(2, 3), row(3, 1))
     )
     assert [r['output_tokens'] for r in first['rows']] == [5]
@@ -205,11 +205,13 @@
 
 
 @pytest.mark.promise
-async def test_silent_entry_goes_on_under_a_new_name(autojump_clock):
-    """An entry is paused for hours; its object is sealed and deleted.
+async def test_entry_whose_counts_were_deleted_bills_none_twice(
+    autojump_clock,
+):
+    """An entry is paused for hours; its counts are sealed and deleted.
 
-    When it wakes, its next write conflicts. It goes on under a new name
-    with what it had not written, and bills nothing a second time.
+    Its next write conflicts. It must continue under a new name with only the
+    counts that it had not written.
     """
     store = memory_store.MemoryStore()
     counts = entry_usage.make_usage(
@@ -226,28 +228,28 @@
     await counts.flush()
     assert counts.incarnation != before
     found = store.table.get('usage', counts.incarnation)
-    assert total(found.value['rows']) == {('c', 'spot'): 2}
+    assert sum_tokens(found.value['rows']) == {('c', 'spot'): 2}
 
 
-async def test_what_runs_is_counted_before_each_write(autojump_clock):
-    # A long stream's part was lost with the process that relayed it.
+async def test_running_streams_are_counted_at_each_flush(autojump_clock):
+    # Guards against losing the usage of a long stream when its process dies.
     store = memory_store.MemoryStore()
     counts = entry_usage.make_usage(
         store, 'vm', trio.current_time, ENTRY_TERMS
     )
 
-    def part():
+    def count_part():
         counts.count('c', 'spot', output_tokens=3)
 
-    def kept():
+    def stored_tokens():
         found = store.table.get('usage', counts.incarnation)
-        return total(found.value['rows']) if found.value else {}
+        return sum_tokens(found.value['rows']) if found.value else {}
 
-    with counts.relaying(part):
+    with counts.relaying(count_part):
         await counts.flush()
-        assert kept() == {('c', 'spot'): 3}
+        assert stored_tokens() == {('c', 'spot'): 3}
         await counts.flush()
-        assert kept() == {('c', 'spot'): 6}
+        assert stored_tokens() == {('c', 'spot'): 6}
         assert counts.unflushed_tokens == 0
     await counts.flush()
-    assert kept() == {('c', 'spot'): 6}
+    assert stored_tokens() == {('c', 'spot'): 6}
