--- a/gentianstair/control/duties.py
+++ b/gentianstair/control/duties.py
@@ -118,13 +118,13 @@
 
 async def _engine_state(context: Context, url: str) -> str:
     try:
-        answer = await context.client.get(
+        response = await context.client.get(
             f'{url}/load', timeout=LOAD_REQUEST_TIMEOUT_S
         )
-        return str(answer.json()['state'])
+        return str(response.json()['state'])
     except (httpx.HTTPError, ValueError, KeyError, TypeError) as error:
-        known = verdict.Verdict.NOT_RUN
-        raise errors.UpstreamError(f'{url}: {error!r}', known) from error
+        not_run = verdict.Verdict.NOT_RUN
+        raise errors.UpstreamError(f'{url}: {error!r}', not_run) from error
 
 
 async def _drain_order(
--- a/gentianstair/control/engine_orders.py
+++ b/gentianstair/control/engine_orders.py
@@ -79,7 +79,7 @@
 
     An engine's record is written before an order is sent (as intended) and
     after its outcome is known. Both writes are conditional, so if two
-    processes believe to hold the lease, one of them fails before it sends.
+    processes believe that they hold the lease, one fails before it sends.
     """
 
     def __init__(
@@ -140,8 +140,7 @@
                 if outcome not in _ACCEPTED_OUTCOMES:
                     audit_outcome = audit.Outcome.REFUSED
             finally:
-                # The order has its outcome by now. If this write is lost, the
-                # record still names the audit entry.
+                # If this write fails, the record still names the audit entry.
                 with contextlib.suppress(errors.StoreError):
                     await audit.conclude(
                         self._store, entry_name, audit_outcome
--- a/gentianstair/control/main.py
+++ b/gentianstair/control/main.py
@@ -95,6 +95,7 @@
             scope: authority.epoch
             for scope, authority in lease_manager.held.items()
         }
+        # looked_ago_s is the time since the leases were last listed.
         body = {'ready': ready, 'looked_ago_s': age_s, 'held': held}
         return body, 200 if ready else 503
 
--- a/gentianstair/control/planning.py
+++ b/gentianstair/control/planning.py
@@ -159,10 +159,10 @@
     context: duties.Context, name: str, value: messages.UpstreamValue
 ) -> role_planner.EngineView:
     try:
-        answer = await context.client.get(
+        response = await context.client.get(
             f'{value["url"]}/load', timeout=duties.LOAD_REQUEST_TIMEOUT_S
         )
-        load = answer.json()
+        load = response.json()
         return role_planner.EngineView(
             name, str(load['role']), str(load['state']), int(load['running'])
         )
--- a/gentianstair/control/role_planner.py
+++ b/gentianstair/control/role_planner.py
@@ -10,7 +10,7 @@
 
 
 class Policy(typing.NamedTuple):
-    """When roles change; utilizations are shares of the latency targets."""
+    """When roles change; at a utilization of 1 a target is just met."""
 
     # Windows of the two demand averages: the fast one follows shifts of the
     # mix, the slow one filters out random variation.
@@ -260,8 +260,10 @@
             remaining = counts._replace(prefill=counts.prefill - 1)
         fast = self.fast_average.demand(now_s)
         during = self._utilization(fast, remaining)
-        change.inputs['utilization_now'] = self._utilization(fast, counts)
-        change.inputs['utilization_during'] = during
+        # In the log line, strain_now and strain_during hold the utilization
+        # before the change and while the engine is away.
+        change.inputs['strain_now'] = self._utilization(fast, counts)
+        change.inputs['strain_during'] = during
         return during <= self.policy.max_transition_utilization
 
 
--- a/gentianstair/control/usage_sealer.py
+++ b/gentianstair/control/usage_sealer.py
@@ -45,9 +45,9 @@
 class Sealer:
     """Seals and reports usage windows.
 
-    Sealing a window creates its seal object, which only the first sealer
-    can do, and reports are made from that object only. So two sealers that
-    both believe to hold the lease report the same figures.
+    A window's seal object holds its final counts. Only the first sealer can
+    create it, and reports are made from it alone, so two sealers that both
+    believe that they hold the lease report the same counts.
     """
 
     def __init__(
--- a/gentianstair/control/utilization.py
+++ b/gentianstair/control/utilization.py
@@ -25,6 +25,7 @@
     inter_token_target_s: float = 0.028
     # Busy share of a prefill engine above which its queue grows too long.
     max_prefill_busy_share: float = 0.75
+    # Share of the KV cache that may be in use.
     max_kv_share: float = 0.9
     # Engine time per output token, including its part of the base step cost
     # in a batch of 30 sequences.
@@ -56,6 +57,7 @@
         return max(self)
 
 
+# Returned for counts without a mixed engine, which can't decode.
 OVERLOADED = Utilization(10.0, 10.0)
 
 
