--- a/gentianstair/gateway/calls.py
+++ b/gentianstair/gateway/calls.py
@@ -10,6 +10,7 @@
 class PromptPart(typing.NamedTuple):
     """A part of a prompt that other requests may share."""
 
+    # Its hash in the ``x-prefix-hash`` header.
     name: str
     tokens: int
 
--- a/gentianstair/gateway/request_state.py
+++ b/gentianstair/gateway/request_state.py
@@ -23,7 +23,7 @@
 # Least Retry-After when no replica could take a request. By then some
 # running requests have ended and the list of replicas is up to date.
 RETRY_AFTER_S = 0.4
-# How long a replica may have been draining before this VM learns of it, and
+# How long a replica may have been draining before this VM learns of it, plus
 # the time to copy KV cache from it.
 DRAIN_NOTICE_DELAY_S = 0.8
 # No attempt is made with less time than this to the deadline.
--- a/test/gateway/test_path.py
+++ b/test/gateway/test_path.py
@@ -41,13 +41,13 @@
     It keeps them for some seconds, in which they can be copied.
     """
     async with sites.running() as site:
-        caching = site.replica('i-reader')
-        caching.kept = {'c0de': 13300}
-        caching.changes = [[1, '+', '', 'c0de', 13300, 'm']]
+        caching_replica = site.replica('i-reader')
+        caching_replica.kept = {'c0de': 13300}
+        caching_replica.changes = [[1, '+', '', 'c0de', 13300, 'm']]
         async with gateways.running(site, tmp_path) as (gateway,):
             # Wait until the gateway knows what the replica caches.
             await trio.sleep(1)
-            caching.draining = True
+            caching_replica.draining = True
             # Wait until it knows that the replica drains.
             await trio.sleep(1)
             headers = {
@@ -57,7 +57,7 @@
             }
             answer = await gateway.call('POST', '/ask/rule', 'k', **headers)
             assert answer.status_code == 200
-        assert caching.arrivals == 0
+        assert caching_replica.arrivals == 0
         copied = [
             replica.copied for replica in decode_replicas(site) if replica.runs
         ]
@@ -99,16 +99,16 @@
     Replicas send only their latest cache events; the rest must be listed.
     """
     async with sites.running() as site:
-        caching = site.replica('i-maker-1')
-        caching.kept = {'c0de': 13300, 'beef': 900}
-        caching.changes = [
+        caching_replica = site.replica('i-maker-1')
+        caching_replica.kept = {'c0de': 13300, 'beef': 900}
+        caching_replica.changes = [
             [1, '+', '', 'c0de', 13300, 'm'],
             [2, '+', '', 'beef', 900, 'm'],
         ]
-        caching.forgotten = 1
-        async with gateways.running(site, tmp_path, 2) as found:
+        caching_replica.forgotten = 1
+        async with gateways.running(site, tmp_path, 2) as running:
             await trio.sleep(1)
-            for number, gateway in enumerate(found):
+            for number, gateway in enumerate(running):
                 headers = {
                     'x-model': 'm',
                     'x-token-count': '13400,80',
@@ -118,8 +118,8 @@
                     'POST', '/ask/rule', f'k{number}', **headers
                 )
                 assert answer.status_code == 200
-        assert caching.lists_read == 2
-        kept_or_copied = caching.arrivals + sum(
+        assert caching_replica.lists_read == 2
+        kept_or_copied = caching_replica.arrivals + sum(
             'c0de' in replica.copied for replica in site.replicas
         )
         assert kept_or_copied >= 2
@@ -142,10 +142,12 @@
         words = [f'word{number}' for number in range(1, 6)]
         found = [line[6:] for line in text.split('\n') if 'data' in line]
         assert found == words
-        firsts = [
-            run.first_event for m in decode_replicas(site) for run in m.runs
+        first_events = [
+            run.first_event
+            for replica in decode_replicas(site)
+            for run in replica.runs
         ]
-        assert sorted(firsts) == [1, 3]
+        assert sorted(first_events) == [1, 3]
 
 
 async def test_broken_stream_of_unresumable_route_does_not_look_complete(
@@ -186,7 +188,7 @@
         'deadline-too-short',
     ],
 )
-async def test_status_and_reusable_connection(
+async def test_status_is_right_and_connection_stays_usable(
     tmp_path, method, path, headers, status
 ):
     async with sites.running() as site:
@@ -277,9 +279,9 @@
 async def test_usage_is_reported_once_by_one_lease_holder(tmp_path):
     async with sites.running() as site:
         settings = {'usage_window_s': 1, 'usage_late_s': 2, 'lease_ms': 2400}
-        async with gateways.running(site, tmp_path, 2, **settings) as found:
+        async with gateways.running(site, tmp_path, 2, **settings) as running:
             for number in range(6):
-                gateway = found[number % 2]
+                gateway = running[number % 2]
                 answer = await gateway.call(
                     'GET', '/lookup/entry', f'u{number}'
                 )
