--- a/gentianstair/bench/node.py
+++ b/gentianstair/bench/node.py
@@ -24,7 +24,7 @@
 from gentianstair.generated import settings as generated
 from gentianstair.peers import link
 from gentianstair.peers import node as node_module
-from gentianstair.peers import spread
+from gentianstair.peers import store_watcher
 from gentianstair.store import budget
 from gentianstair.store import http_store
 from gentianstair.store import store
@@ -106,7 +106,7 @@
 
     async def serve(
         self,
-        handler: link.Handler,
+        handler: link.ChannelHandler,
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
     ) -> None:
         """See Network.serve."""
@@ -162,14 +162,14 @@
         type='report',
         cpu_s=_cpu_s(),
         resident_bytes=_resident_bytes(),
-        bytes=_sum(link.BYTES, ('direction',)),
-        bytes_by_type=_sum(link.BYTES, ('direction', 'type')),
+        bytes=_sum(link.MESSAGE_BYTES, ('direction',)),
+        bytes_by_type=_sum(link.MESSAGE_BYTES, ('direction', 'type')),
         calls=_sum(budget.CALLS, ('purpose', 'call')),
         revision=view.revision,
         fresh=node.is_fresh() if node else None,
-        age_s=node.fresh_age_s() if node else None,
+        age_s=node.config_age_s() if node else None,
         members=len(node.members()) if node else 1,
-        links=node.links() if node else 0,
+        links=node.link_count() if node else 0,
     )
 
 
@@ -194,7 +194,7 @@
     view: view_module.View, client: store.Store, watch_s: float
 ) -> None:
     """Watch the store from this very node, as each node would."""
-    watcher = spread.Watcher(
+    watcher = store_watcher.Watcher(
         view, client, clock.boottime_s, watch_s, random.Random()
     )
     fresh = False
--- a/gentianstair/entry/main.py
+++ b/gentianstair/entry/main.py
@@ -144,7 +144,7 @@
 
     @app.get('/operator/confirmed')
     async def confirmed():
-        return {'revisions': await peer.confirmed()}
+        return {'revisions': await peer.confirmed_revisions()}
 
     @app.get('/operator/explain/<request_id>')
     async def explanation(request_id: str):
--- a/gentianstair/gateway/hub_client.py
+++ b/gentianstair/gateway/hub_client.py
@@ -206,7 +206,7 @@
     current = node.active_config.catalog
     cache_changes = node.cache_news.hub_log.since(sent_position)
     return {
-        'version': link.VERSION,
+        'version': link.PROTOCOL_VERSION,
         'type': 'load',
         'process': node.roster.process_name,
         'address': node.deployment.peer_address,
--- a/gentianstair/gateway/leaf_feed.py
+++ b/gentianstair/gateway/leaf_feed.py
@@ -52,7 +52,7 @@
         cache_changes = node.cache_news.leaf_log.since(self._cache_position)
         self._cache_position = node.cache_news.leaf_log.position
         feed: messages.GatewayFeed = {
-            'version': link.VERSION,
+            'version': link.PROTOCOL_VERSION,
             'type': 'feed',
             'process': node.roster.process_name,
             'age_ms': int(self._store_health.reported_age_s * 1000),
--- a/gentianstair/gateway/peer_links.py
+++ b/gentianstair/gateway/peer_links.py
@@ -211,7 +211,7 @@
     def _make_news(self, known_version: int) -> messages.GatewayNews:
         node = self._node
         news: messages.GatewayNews = {
-            'version': link.VERSION,
+            'version': link.PROTOCOL_VERSION,
             'type': 'news',
             'age_ms': int(self._updates.store_health.age_s * 1000),
             'replicas': [list(r) for r in node.registry.all()],
@@ -261,7 +261,7 @@
             address = self._rng.choice(sorted(self._open))
             current = self._node.active_config.catalog
             query: messages.GatewayAsk = {
-                'version': link.VERSION,
+                'version': link.PROTOCOL_VERSION,
                 'type': 'ask_news',
                 'config_version': current.version if current else 0,
             }
--- a/gentianstair/peers/avoidance.py
+++ b/gentianstair/peers/dial_backoff.py
@@ -5,39 +5,39 @@
 from gentianstair.util import clock as clocks
 
 # Heartbeats for which a peer is passed over, at most, after failed tries.
-AVOID_BEATS = 10
+MAX_BACKOFF_HEARTBEATS = 10
 
 
-class Avoidance:
+class DialBackoff:
     """Peers that could not be reached, and until when to pass them over."""
 
     def __init__(self, clock: clocks.Clock, heartbeat_s: float) -> None:
         self._clock = clock
         self._heartbeat_s = heartbeat_s
         self._until_s: dict[str, float] = {}
-        self._failed: dict[str, int] = {}
+        self._failures: dict[str, int] = {}
 
-    def failed(self, name: str) -> None:
+    def record_failure(self, name: str) -> None:
         """Pass a peer over for a while, longer with each failed try."""
         # A first try may fail only since the peer is just starting.
-        tries = self._failed.get(name, 0)
-        self._failed[name] = tries + 1
-        beats = min(AVOID_BEATS, 0.5 * 2**tries)
-        self._until_s[name] = self._clock() + beats * self._heartbeat_s
+        failures = self._failures.get(name, 0)
+        self._failures[name] = failures + 1
+        heartbeats = min(MAX_BACKOFF_HEARTBEATS, 0.5 * 2**failures)
+        self._until_s[name] = self._clock() + heartbeats * self._heartbeat_s
 
-    def never(self, name: str) -> None:
+    def exclude(self, name: str) -> None:
         """Do not dial a name again: it is this node itself."""
         self._until_s[name] = math.inf
 
-    def reached(self, name: str) -> None:
+    def reset(self, name: str) -> None:
         """Forget what failed before."""
         self._until_s.pop(name, None)
-        self._failed.pop(name, None)
+        self._failures.pop(name, None)
 
-    def avoids(self, name: str, now_s: float) -> bool:
+    def is_waiting(self, name: str, now_s: float) -> bool:
         """Return whether a peer is passed over now."""
         return self._until_s.get(name, 0.0) > now_s
 
-    def names(self, now_s: float) -> set[str]:
+    def waiting_names(self, now_s: float) -> set[str]:
         """Return all that are passed over now."""
         return {n for n, until_s in self._until_s.items() if until_s > now_s}
--- a/gentianstair/peers/freshness.py
+++ b/gentianstair/peers/freshness.py
@@ -27,16 +27,16 @@
         self.reached_at_s: float | None = None
         # Set by peers that go on by majority, for a VM that came during the
         # outage and never had news of its own from the store.
-        self.outage_at_s: float | None = None
+        self.peer_as_of_s: float | None = None
 
-    def heard_store(self, as_of_s: float) -> bool:
+    def record_store_view(self, as_of_s: float) -> bool:
         """Record that the view was current at as_of_s; say if that helps."""
         if self.as_of_s is not None and as_of_s <= self.as_of_s:
             return False
         self.as_of_s = as_of_s
         return True
 
-    def heard_count(self, reached: int, at_s: float) -> bool:
+    def record_reached(self, reached: int, at_s: float) -> bool:
         """Record how many VMs were reached at at_s; say if it is news."""
         if self.reached_at_s is not None and at_s <= self.reached_at_s:
             return False
@@ -44,10 +44,10 @@
         self.reached_at_s = at_s
         return True
 
-    def heard_outage(self, as_of_s: float) -> None:
+    def record_peer_view(self, as_of_s: float) -> None:
         """Record a peer's last news from the store, however old."""
-        if self.outage_at_s is None or as_of_s > self.outage_at_s:
-            self.outage_at_s = as_of_s
+        if self.peer_as_of_s is None or as_of_s > self.peer_as_of_s:
+            self.peer_as_of_s = as_of_s
 
     def age_s(self) -> float | None:
         """Return the age of the news from the store, if there were any."""
@@ -61,19 +61,21 @@
             return None
         return max(0.0, self._clock() - self.reached_at_s)
 
-    def outage_age_s(self) -> float | None:
+    def store_silence_s(self) -> float | None:
         """Return how long the store has been silent for this node's view."""
-        known = [t for t in (self.as_of_s, self.outage_at_s) if t is not None]
-        if not known:
+        times_s = [
+            t for t in (self.as_of_s, self.peer_as_of_s) if t is not None
+        ]
+        if not times_s:
             return None
-        return max(0.0, self._clock() - max(known))
+        return max(0.0, self._clock() - max(times_s))
 
-    def hears_store(self) -> bool:
+    def has_recent_view(self) -> bool:
         """Say whether the news from the store are recent enough."""
         age_s = self.age_s()
         return age_s is not None and age_s <= self._freshness_s
 
-    def has_majority(self, known: int) -> bool:
+    def has_majority(self, voters: int) -> bool:
         """Say whether most of the known VMs were reached just now.
 
         A key may have been revoked on the far side of a partition. A
@@ -81,21 +83,21 @@
         the store down for all no key can have been revoked at all.
         """
         age_s = self.reached_age_s()
-        outage_s = self.outage_age_s()
-        if age_s is None or outage_s is None:
+        silence_s = self.store_silence_s()
+        if age_s is None or silence_s is None:
             return False
         return (
             age_s <= self._freshness_s
-            and outage_s <= self._outage_limit_s
-            and 2 * self.reached > known
+            and silence_s <= self._outage_limit_s
+            and 2 * self.reached > voters
         )
 
-    def is_fresh(self, known: int) -> bool:
+    def is_fresh(self, voters: int) -> bool:
         """Say whether callers may be served; known VMs in number."""
-        return self.hears_store() or self.has_majority(known)
+        return self.has_recent_view() or self.has_majority(voters)
 
 
-class Estimate(typing.NamedTuple):
+class SendTime(typing.NamedTuple):
     """When, on our clock, a peer told us something, at the earliest.
 
     A beat can lie in a socket through a partition, or in a buffer while
@@ -107,12 +109,14 @@
     sent_after_s: float
 
 
-def estimate(echo_ms: int | None, held_ms: int | None) -> Estimate | None:
+def earliest_send_time(
+    echo_ms: int | None, held_ms: int | None
+) -> SendTime | None:
     """Return the earliest time of sending, or None without an echo.
 
-    >>> estimate(5000, 250)
-    Estimate(sent_after_s=5.25)
+    >>> earliest_send_time(5000, 250)
+    SendTime(sent_after_s=5.25)
     """
     if echo_ms is None or held_ms is None:
         return None
-    return Estimate((echo_ms + held_ms) / 1000)
+    return SendTime((echo_ms + held_ms) / 1000)
--- a/gentianstair/peers/questions.py
+++ b/gentianstair/peers/indirect_probe.py
@@ -16,91 +16,100 @@
 from gentianstair.generated import messages
 from gentianstair.peers import link
 from gentianstair.peers import membership
-from gentianstair.peers import session as sessions
+from gentianstair.peers import session as session_module
 from gentianstair.util import clock as clocks
 
 # Other nodes that are asked whether they reach a silent VM.
-PROBES = 3
+PROBE_HELPERS = 3
 # Heartbeats of silence up to which a peer counts as heard.
-HEARD_BEATS = 2.5
+RECENT_HEARTBEATS = 2.5
 
 
-class Terms(typing.NamedTuple):
+class Timing(typing.NamedTuple):
     """How often peers speak, and after what silence one is suspected."""
 
     heartbeat_s: float
     suspect_s: float
 
 
-class Questions:
+class IndirectProber:
     """Ask peers about silent VMs, and answer what peers ask."""
 
     def __init__(
         self,
         members: membership.Members,
         network: link.Network,
-        open_sessions: collections.abc.Callable[[], list[sessions.Session]],
-        suspect: collections.abc.Callable[[str], None],
-        terms: Terms,
+        open_sessions: collections.abc.Callable[
+            [], list[session_module.Session]
+        ],
+        on_unreachable: collections.abc.Callable[[str], None],
+        timing: Timing,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
         self._members = members
         self._network = network
         self._open_sessions = open_sessions
-        self._suspect = suspect
-        self._terms = terms
+        self._on_unreachable = on_unreachable
+        self._timing = timing
         self._clock = clock
         self._rng = rng
-        self._asked: set[str] = set()
+        self._probing: set[str] = set()
 
-    def _linked(self, name: str) -> bool:
-        return any(one.peer.name == name for one in self._open_sessions())
+    def _is_linked(self, name: str) -> bool:
+        return any(
+            session.peer.name == name for session in self._open_sessions()
+        )
 
-    async def ask(self, name: str) -> None:
+    async def probe(self, name: str) -> None:
         """Ask about a VM; suspect it unless somebody reaches it."""
         member = self._members.by_name.get(name)
-        if member is None or name in self._asked:
+        if member is None or name in self._probing:
             return
         if member.status in (membership.GONE, membership.LEAVING):
             return
-        self._asked.add(name)
+        self._probing.add(name)
         try:
-            deadline_s = self._clock() + self._terms.suspect_s
+            deadline_s = self._clock() + self._timing.suspect_s
             while self._clock() < deadline_s:
-                for one in self._some(PROBES):
-                    one.add({'type': 'probe', 'name': name})
-                await trio.sleep(self._terms.heartbeat_s)
-                if self._linked(name) or name not in self._asked:
+                for session in self._sample_sessions(PROBE_HELPERS):
+                    session.queue({'type': 'probe', 'name': name})
+                await trio.sleep(self._timing.heartbeat_s)
+                if self._is_linked(name) or name not in self._probing:
                     return
-            self._suspect(name)
+            self._on_unreachable(name)
         finally:
-            self._asked.discard(name)
+            self._probing.discard(name)
 
-    def _some(self, number: int) -> list[sessions.Session]:
-        found = self._open_sessions()
-        return self._rng.sample(found, min(number, len(found)))
+    def _sample_sessions(self, count: int) -> list[session_module.Session]:
+        sessions = self._open_sessions()
+        return self._rng.sample(sessions, min(count, len(sessions)))
 
-    def take_answer(self, message: messages.PeerProbe) -> None:
+    def handle_answer(self, message: messages.PeerProbe) -> None:
         """Take what a peer says of a VM that it was asked about."""
         if message['heard']:
-            self._asked.discard(message['name'])
+            self._probing.discard(message['name'])
 
-    async def answer(self, asker: sessions.Session, name: str) -> None:
+    async def answer_probe(
+        self, requester: session_module.Session, name: str
+    ) -> None:
         """Tell a peer whether this node reaches a VM, trying it if need be."""
-        heard_s = HEARD_BEATS * self._terms.heartbeat_s
-        heard = any(
-            one.peer.name == name and self._clock() - one.heard_s <= heard_s
-            for one in self._open_sessions()
+        recent_s = RECENT_HEARTBEATS * self._timing.heartbeat_s
+        recently_heard = any(
+            session.peer.name == name
+            and self._clock() - session.last_received_s <= recent_s
+            for session in self._open_sessions()
         )
         member = self._members.by_name.get(name)
-        if not heard and member is not None and member.address:
-            heard = await self._reaches(member)
-        asker.add({'type': 'probe', 'name': name, 'heard': heard})
+        if not recently_heard and member is not None and member.address:
+            recently_heard = await self._can_reach(member)
+        requester.queue(
+            {'type': 'probe', 'name': name, 'heard': recently_heard}
+        )
 
-    async def _reaches(self, member: membership.Member) -> bool:
+    async def _can_reach(self, member: membership.Member) -> bool:
         """Try whether a VM answers with a hello as the same incarnation."""
-        with trio.move_on_after(self._terms.suspect_s / 2):
+        with trio.move_on_after(self._timing.suspect_s / 2):
             try:
                 async with self._network.open(member.address) as channel:
                     hello = link.decode(await channel.receive())
--- a/gentianstair/peers/link.py
+++ b/gentianstair/peers/link.py
@@ -18,15 +18,15 @@
 from gentianstair.util import addresses
 from gentianstair.util import tls
 
-VERSION = 1
+PROTOCOL_VERSION = 1
 MAX_MESSAGE_BYTES = 2 * 1024 * 1024
-MAX_DEPTH = 12
+MAX_NESTING_DEPTH = 12
 OPEN_TIMEOUT_S = 3.0
 CLOSE_TIMEOUT_S = 0.5
 # Longest time that sent bytes may stay undelivered.
-DELIVERY_MS = 3000
+DELIVERY_TIMEOUT_MS = 3000
 # Frames that wait to be read before the sender is held back.
-RECEIVE_QUEUE = 16
+MAX_RECEIVE_QUEUE_FRAMES = 16
 
 MESSAGE_TYPES: dict[str, type] = {
     'hello': messages.PeerHello,
@@ -45,12 +45,12 @@
     'feed': messages.GatewayFeed,
 }
 
-BYTES = prometheus_client.Counter(
+MESSAGE_BYTES = prometheus_client.Counter(
     'gentianstair_peer_bytes',
     'Payload bytes of messages between peers.',
     ['direction', 'type'],
 )
-DROPPED = prometheus_client.Counter(
+DROPPED_MESSAGES = prometheus_client.Counter(
     'gentianstair_peer_dropped_messages',
     'Messages from peers that were dropped.',
     ['reason'],
@@ -65,8 +65,8 @@
 
 def encode(message: Message) -> bytes:
     """Return the bytes of a message; its version is filled in."""
-    data = cbor2.dumps({'version': VERSION, **message})
-    BYTES.labels('out', message['type']).inc(len(data))
+    data = cbor2.dumps({'version': PROTOCOL_VERSION, **message})
+    MESSAGE_BYTES.labels('out', message['type']).inc(len(data))
     return data
 
 
@@ -79,20 +79,22 @@
     if len(data) > MAX_MESSAGE_BYTES:
         raise errors.DecodeError(f'{len(data)} bytes are too many')
     try:
-        raw = cbor2.loads(data, max_depth=MAX_DEPTH, allow_indefinite=False)
+        raw = cbor2.loads(
+            data, max_depth=MAX_NESTING_DEPTH, allow_indefinite=False
+        )
         name = raw['type'] if isinstance(raw, dict) else None
     except (cbor2.CBORDecodeError, KeyError, ValueError) as error:
         raise errors.DecodeError(str(error)) from error
     if not isinstance(name, str):
         raise errors.DecodeError('a message must be a map with a type')
     if name not in MESSAGE_TYPES:
-        DROPPED.labels('unknown type').inc()
+        DROPPED_MESSAGES.labels('unknown type').inc()
         return None
     try:
         message = msgspec.convert(raw, MESSAGE_TYPES[name])
     except (msgspec.ValidationError, TypeError) as error:
         raise errors.DecodeError(str(error)) from error
-    BYTES.labels('in', name).inc(len(data))
+    MESSAGE_BYTES.labels('in', name).inc(len(data))
     return typing.cast(Message, message)
 
 
@@ -112,7 +114,7 @@
         """Close without waiting for the other end for long."""
 
 
-Handler = typing.Callable[[Channel], typing.Awaitable[None]]
+ChannelHandler = typing.Callable[[Channel], typing.Awaitable[None]]
 
 
 class Network(abc.ABC):
@@ -127,7 +129,7 @@
     @abc.abstractmethod
     async def serve(
         self,
-        handler: Handler,
+        handler: ChannelHandler,
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
     ) -> None:
         """Run handler for each incoming channel; report the address."""
@@ -159,7 +161,7 @@
         await self._connection.aclose()
 
 
-def _bound_delivery(connection: typing.Any) -> None:
+def _limit_delivery_time(connection: typing.Any) -> None:
     """Have the kernel break a link whose bytes are not taken in time.
 
     Behind a cut nothing comes back, and without a bound the kernel would
@@ -172,7 +174,7 @@
         return
     try:
         stream.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, DELIVERY_MS
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, DELIVERY_TIMEOUT_MS
         )
     except OSError as error:
         raise LinkClosedError(f'closed at once: {error}') from error
@@ -202,7 +204,7 @@
                 close_timeout=CLOSE_TIMEOUT_S,
                 ping_interval=None,
                 max_size=MAX_MESSAGE_BYTES,
-                max_queue=RECEIVE_QUEUE,
+                max_queue=MAX_RECEIVE_QUEUE_FRAMES,
             )
             opened = await connection.__aenter__()
         except (
@@ -216,14 +218,14 @@
         ) as error:
             raise LinkClosedError(f'{address}: {error}') from error
         try:
-            _bound_delivery(opened)
+            _limit_delivery_time(opened)
             yield WebsocketChannel(opened)
         finally:
             await connection.__aexit__(None, None, None)
 
     async def serve(
         self,
-        handler: Handler,
+        handler: ChannelHandler,
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
     ) -> None:
         """See Network.serve."""
@@ -247,7 +249,7 @@
                 close_timeout=CLOSE_TIMEOUT_S,
                 ping_interval=None,
                 max_size=MAX_MESSAGE_BYTES,
-                max_queue=RECEIVE_QUEUE,
+                max_queue=MAX_RECEIVE_QUEUE_FRAMES,
             )
 
 
--- a/gentianstair/peers/membership.py
+++ b/gentianstair/peers/membership.py
@@ -15,16 +15,16 @@
 ABSENT = 'absent'
 # How long a VM that is gone is remembered, so that no late claim of a slow
 # peer brings it back.
-FORGET_S = 3600.0
+FORGET_GONE_AFTER_S = 3600.0
 # A process this young takes a greater incarnation of its name for that of
 # its predecessor, whose wall clock was ahead.
-YOUNG_S = 10.0
+PREDECESSOR_WINDOW_S = 10.0
 
 # Order of claims about one incarnation at one counter: the later ones win,
 # and only the VM itself can overrule them, by a greater counter.
-_RANKS = {LIVE: 0, SUSPECT: 1, LEAVING: 2, GONE: 3}
+_STATUS_PRECEDENCE = {LIVE: 0, SUSPECT: 1, LEAVING: 2, GONE: 3}
 
-MEMBERS = prometheus_client.Gauge(
+MEMBER_COUNT = prometheus_client.Gauge(
     'gentianstair_members', 'VMs known, by status.', ['status']
 )
 
@@ -56,7 +56,7 @@
 
 
 def _precedence(member: Member) -> tuple[int, int, int]:
-    rank = _RANKS.get(member.status, 0)
+    rank = _STATUS_PRECEDENCE.get(member.status, 0)
     return member.incarnation, member.counter, rank
 
 
@@ -82,7 +82,7 @@
         self.listed: dict[str, ListedState] = {}
         self.suspect_since_s: dict[str, float] = {}
         self._gone_since_s: dict[str, float] = {}
-        self._started_s: float | None = None
+        self._first_claim_s: float | None = None
         # Raised at each change, so that what is worked out from thousands
         # of members is worked out once for each change and not each time.
         self.generation = 0
@@ -121,10 +121,10 @@
 
     def _refute(self, claim: Member, now_s: float) -> Member | None:
         own = self.own
-        if self._started_s is None:
-            self._started_s = now_s
+        if self._first_claim_s is None:
+            self._first_claim_s = now_s
         if claim.incarnation > own.incarnation:
-            if now_s - self._started_s > YOUNG_S:
+            if now_s - self._first_claim_s > PREDECESSOR_WINDOW_S:
                 # A later process has this name. It is the VM now; this one
                 # is a remnant that must not fight over the name.
                 return None
@@ -145,7 +145,7 @@
         else:
             self.suspect_since_s.pop(member.name, None)
 
-    def mark(self, name: str, status: str, now_s: float) -> list[Member]:
+    def set_status(self, name: str, status: str, now_s: float) -> list[Member]:
         """Set a status from what is seen here; return the change, if any."""
         known = self.by_name.get(name)
         if known is None or known.status in (status, GONE):
@@ -159,16 +159,20 @@
         self._set(leaving, now_s)
         return [leaving]
 
-    def expire(self, now_s: float, gone_s: float) -> list[Member]:
+    def expire_suspects(self, now_s: float, gone_s: float) -> list[Member]:
         """Turn VMs that were suspect for long into gone ones."""
         late = [
             name
             for name, since_s in self.suspect_since_s.items()
             if now_s - since_s > gone_s
         ]
-        return [made for name in late for made in self.mark(name, GONE, now_s)]
+        return [
+            made
+            for name in late
+            for made in self.set_status(name, GONE, now_s)
+        ]
 
-    def apply_listed(
+    def apply_vm_list(
         self, found: dict[str, ListedState], now_s: float
     ) -> tuple[dict[str, ListedState], list[Member]]:
         """Take what is newer on the platform's list.
@@ -189,14 +193,14 @@
                 continue
             taken[name] = entry
             if entry.state == LEAVING:
-                changed += self.mark(name, LEAVING, now_s)
+                changed += self.set_status(name, LEAVING, now_s)
             # Off the list and silent: no need to wait longer. Off the list
             # but heard from: the list lags behind a new VM.
             if entry.state == ABSENT and name in self.suspect_since_s:
-                changed += self.mark(name, GONE, now_s)
+                changed += self.set_status(name, GONE, now_s)
         return taken, changed
 
-    def poll_changes(
+    def diff_vm_list(
         self, states: dict[str, str], now_ms: int
     ) -> dict[str, ListedState]:
         """Return what a reading of the list changes against what is known."""
@@ -234,7 +238,7 @@
             if member.status in (LIVE, SUSPECT, LEAVING)
         ]
 
-    def placed(self) -> dict[str, str]:
+    def tree_domains(self) -> dict[str, str]:
         """Return failure domains of VMs that carry the spread, by name.
 
         A suspect keeps its place until it is gone, so that a VM that is
@@ -248,7 +252,7 @@
         placed[self.own_name] = self.own.failure_domain
         return placed
 
-    def known(self) -> set[str]:
+    def voters(self) -> set[str]:
         """Return the VMs that a majority is measured by."""
         counted = set()
         for member in self.by_name.values():
@@ -262,21 +266,21 @@
                 counted.add(name)
         return counted
 
-    def forget(self, now_s: float) -> None:
+    def forget_gone(self, now_s: float) -> None:
         """Drop VMs that are gone, off the list, and so for a long time."""
         for name, since_s in list(self._gone_since_s.items()):
             entry = self.listed.get(name)
             listed = entry is not None and entry.state != ABSENT
-            if now_s - since_s > FORGET_S and not listed:
+            if now_s - since_s > FORGET_GONE_AFTER_S and not listed:
                 self.generation += 1
                 del self._gone_since_s[name]
                 self.by_name.pop(name, None)
                 self.listed.pop(name, None)
 
-    def count(self) -> None:
+    def update_metrics(self) -> None:
         """Put the number of members by status into the metrics."""
-        for status in _RANKS:
+        for status in _STATUS_PRECEDENCE:
             number = sum(
                 1 for m in self.by_name.values() if m.status == status
             )
-            MEMBERS.labels(status).set(number)
+            MEMBER_COUNT.labels(status).set(number)
--- a/gentianstair/peers/node.py
+++ b/gentianstair/peers/node.py
@@ -12,17 +12,17 @@
 from gentianstair import errors
 from gentianstair.config import view as view_module
 from gentianstair.generated import messages
-from gentianstair.peers import avoidance
+from gentianstair.peers import broadcaster
+from gentianstair.peers import dial_backoff
 from gentianstair.peers import freshness as freshness_module
+from gentianstair.peers import indirect_probe
 from gentianstair.peers import link
 from gentianstair.peers import membership
-from gentianstair.peers import outgoing
-from gentianstair.peers import questions
+from gentianstair.peers import outgoing_messages
 from gentianstair.peers import session as session_module
-from gentianstair.peers import spread
+from gentianstair.peers import store_watcher
 from gentianstair.peers import summaries as summaries_module
 from gentianstair.peers import survey as survey_module
-from gentianstair.peers import teller
 from gentianstair.peers import topology
 from gentianstair.store import store as store_module
 from gentianstair.store import vm_list as vm_list_module
@@ -32,25 +32,25 @@
 HELLO_TIMEOUT_S = 3.0
 # Share of watch_s by which news must be newer than what a peer has, to be
 # passed on before the next heartbeat.
-PASS_ON_SHARE = 0.5
-CONFIRM_TRIES = 2
+EARLY_HEARTBEAT_SHARE = 0.5
+CONFIRM_ATTEMPTS = 2
 # Nodes that count when the first watchers' count does not come.
-STAND_INS = 16
+BACKUP_SURVEYORS = 16
 # Shortest time between two rounds of summaries, and the bytes a second that
 # all VMs' summaries together may bring to one VM.
-SUMMARY_PAUSE_S = 0.25
-SUMMARY_BYTES_PER_S = 200e3
+MIN_SUMMARY_INTERVAL_S = 0.25
+MAX_SUMMARY_BYTES_PER_S = 200e3
 # Beats that carry the digest of the members: one in so many.
-MEMBERS_BEATS = 8
+HEARTBEATS_PER_MEMBERS_DIGEST = 8
 
-LINKS = prometheus_client.Gauge(
+LINK_COUNT = prometheus_client.Gauge(
     'gentianstair_peer_links', 'Links to peers that are up.'
 )
-FRESH_AGE = prometheus_client.Gauge(
+CONFIG_AGE = prometheus_client.Gauge(
     'gentianstair_config_age_seconds',
     'Age of the last news from the store, by whatever way they came.',
 )
-REPAIRS = prometheus_client.Counter(
+CONFIG_REPAIRS = prometheus_client.Counter(
     'gentianstair_config_repairs',
     'Times a peer was asked for objects that had been missed.',
 )
@@ -90,7 +90,7 @@
         self._freshness = freshness_module.Freshness(
             clock, settings.freshness_s, settings.outage_limit_s
         )
-        self._watcher = spread.Watcher(
+        self._watcher = store_watcher.Watcher(
             view, store, clock, settings.watch_s, rng
         )
         self._summaries = summaries_module.Summaries(
@@ -101,31 +101,31 @@
         )
         self._sessions: list[session_module.Session] = []
         self._dialing: set[str] = set()
-        self._questions = questions.Questions(
+        self._prober = indirect_probe.IndirectProber(
             self._members,
             network,
             lambda: self._sessions,
             self._suspect,
-            questions.Terms(settings.heartbeat_s, settings.suspect_s),
+            indirect_probe.Timing(settings.heartbeat_s, settings.suspect_s),
             clock,
             rng,
         )
-        self._avoidance = avoidance.Avoidance(clock, settings.heartbeat_s)
-        self._place: topology.Place | None = None
-        self._place_key: typing.Any = None
-        self._known = 1
-        self._known_at = -1
+        self._backoff = dial_backoff.DialBackoff(clock, settings.heartbeat_s)
+        self._position: topology.Position | None = None
+        self._position_key: typing.Any = None
+        self._voter_count = 1
+        self._voter_generation = -1
         self._members_digest: int | None = None
-        self._beats = 0
+        self._heartbeat_rounds = 0
         self._surveying = False
-        self._hurry = trio.Event()
-        self._teller = teller.Teller(
+        self._topology_changed = trio.Event()
+        self._broadcaster = broadcaster.Broadcaster(
             self._members,
             view,
             self._summaries,
             lambda: self._sessions,
             clock,
-            lambda: self._hurry.set(),
+            lambda: self._topology_changed.set(),
         )
         self._nursery: trio.Nursery
         self.started = trio.Event()
@@ -135,9 +135,9 @@
 
     def is_fresh(self) -> bool:
         """Say whether callers may be served from this node's view."""
-        return self._freshness.is_fresh(self._known)
+        return self._freshness.is_fresh(self._voter_count)
 
-    def fresh_age_s(self) -> float | None:
+    def config_age_s(self) -> float | None:
         """Return the age of the news from the store; None without any."""
         return self._freshness.age_s()
 
@@ -145,7 +145,7 @@
         """Return all VMs known, by name."""
         return sorted(self._members.by_name.values())
 
-    def links(self) -> int:
+    def link_count(self) -> int:
         """Return how many links to peers are up."""
         return len(self._sessions)
 
@@ -157,27 +157,29 @@
         """Call handler(vm_name, body) when another VM's summary changes."""
         self._summaries.subscribe(topic, handler)
 
-    async def confirmed(self, timeout_s: float = 2.0) -> dict[str, int]:
+    async def confirmed_revisions(
+        self, timeout_s: float = 2.0
+    ) -> dict[str, int]:
         """Return the configuration revision in force by VM name.
 
         A VM that is known and left out did not confirm in time.
         """
         found: dict[str, int] = {}
-        known = self._members.known()
+        voters = self._members.voters()
         # A link that closes during a survey takes the answers behind it
         # along, so VMs that are missing are asked for again.
-        for _ in range(CONFIRM_TRIES):
-            result = await self._surveys.start(
-                timeout_s / CONFIRM_TRIES, revisions=True
+        for _ in range(CONFIRM_ATTEMPTS):
+            result = await self._surveys.run(
+                timeout_s / CONFIRM_ATTEMPTS, revisions=True
             )
             found.update(result.revisions)
-            if known <= found.keys():
+            if voters <= found.keys():
                 break
         return found
 
     def leave(self) -> None:
         """Tell the peers that this VM is leaving; links stay up."""
-        self._teller.spread_members(self._members.leave(self._clock()))
+        self._broadcaster.broadcast_members(self._members.leave(self._clock()))
 
     # Tasks.
 
@@ -194,15 +196,15 @@
                 self._members.set_address(self.address)
             task_status.started()
             self.started.set()
-            nursery.start_soon(self._beat_loop)
+            nursery.start_soon(self._heartbeat_loop)
             nursery.start_soon(self._watch_loop)
             nursery.start_soon(self._summary_loop)
             if self._vm_list is not None:
-                nursery.start_soon(self._list_loop, self._vm_list)
+                nursery.start_soon(self._vm_list_loop, self._vm_list)
 
     async def _accept(self, channel: link.Channel) -> None:
         if len(self._sessions) >= MAX_LINKS:
-            link.DROPPED.labels('too many links').inc()
+            link.DROPPED_MESSAGES.labels('too many links').inc()
             return
         await self._run_session(channel, dialed=False)
 
@@ -213,23 +215,25 @@
         try:
             async with self._network.open(address) as channel:
                 reached = True
-                await self._run_session(channel, dialed=True, wanted=name)
+                await self._run_session(channel, dialed=True, dialed_name=name)
         except link.LinkClosedError:
             pass
         finally:
             self._dialing.discard(name)
             if not reached:
-                self._avoidance.failed(name)
+                self._backoff.record_failure(name)
         if not reached and name in self._members.by_name:
-            self._nursery.start_soon(self._questions.ask, name)
+            self._nursery.start_soon(self._prober.probe, name)
 
     async def _run_session(
-        self, channel: link.Channel, dialed: bool, wanted: str = ''
+        self, channel: link.Channel, dialed: bool, dialed_name: str = ''
     ) -> None:
         """Exchange hellos, then read and write until the link breaks."""
         try:
             await channel.send(
-                link.encode(outgoing.hello(self._view, self._members))
+                link.encode(
+                    outgoing_messages.make_hello(self._view, self._members)
+                )
             )
             with trio.fail_after(HELLO_TIMEOUT_S):
                 data = await channel.receive()
@@ -240,122 +244,133 @@
             return
         peer = membership.from_message(hello['member'])
         if peer.name == self.name:
-            if wanted:
-                self._avoidance.never(wanted)
+            if dialed_name:
+                self._backoff.exclude(dialed_name)
             return
         now_s = self._clock()
-        one = session_module.Session(channel, peer, dialed, now_s)
-        self._sessions.append(one)
-        self._close_double(peer.name)
-        self._avoidance.reached(peer.name)
-        self._teller.greet(one, typing.cast(messages.PeerHello, hello))
+        session = session_module.Session(channel, peer, dialed, now_s)
+        self._sessions.append(session)
+        self._close_duplicate_link(peer.name)
+        self._backoff.reset(peer.name)
+        self._broadcaster.sync_peer(
+            session, typing.cast(messages.PeerHello, hello)
+        )
         try:
-            with one.scope:
+            with session.scope:
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self._write, one)
-                    await self._read(one)
+                    nursery.start_soon(self._write, session)
+                    await self._read(session)
         except* (link.LinkClosedError, errors.DecodeError) as group:
             loguru.logger.bind(peer=peer.name).debug('link ended: {}', group)
         finally:
-            self._sessions.remove(one)
-            self._hurry.set()
-            survey_module.lost_link(one)
-            LINKS.set(len(self._sessions))
-        if not self._linked(peer.name):
-            self._nursery.start_soon(self._questions.ask, peer.name)
-
-    def _close_double(self, name: str) -> None:
+            self._sessions.remove(session)
+            self._topology_changed.set()
+            survey_module.answer_for_lost_link(session)
+            LINK_COUNT.set(len(self._sessions))
+        if not self._is_linked(peer.name):
+            self._nursery.start_soon(self._prober.probe, peer.name)
+
+    def _close_duplicate_link(self, name: str) -> None:
         """Keep one link when two nodes dialed each other at once.
 
         Both ends keep the one that the lesser name dialed.
         """
-        doubles = [one for one in self._sessions if one.peer.name == name]
-        if len(doubles) < 2:
+        duplicates = [
+            session for session in self._sessions if session.peer.name == name
+        ]
+        if len(duplicates) < 2:
             return
         keep_dialed = self.name < name
-        kept = [one for one in doubles if one.dialed == keep_dialed]
-        kept = kept[-1:] or doubles[-1:]
-        for one in doubles:
-            if one not in kept:
-                one.scope.cancel()
+        kept = [
+            session for session in duplicates if session.dialed == keep_dialed
+        ]
+        kept = kept[-1:] or duplicates[-1:]
+        for session in duplicates:
+            if session not in kept:
+                session.scope.cancel()
 
-    async def _write(self, one: session_module.Session) -> None:
-        await one.write(self._make_beat, self._clock)
+    async def _write(self, session: session_module.Session) -> None:
+        await session.write(self._make_heartbeat, self._clock)
 
-    async def _read(self, one: session_module.Session) -> None:
+    async def _read(self, session: session_module.Session) -> None:
         while True:
-            message = link.decode(await one.channel.receive())
-            one.heard_s = self._clock()
+            message = link.decode(await session.channel.receive())
+            session.last_received_s = self._clock()
             if message is not None:
-                self._handle(one, message)
+                self._handle(session, message)
 
     def _handle(
-        self, one: session_module.Session, message: link.Message
+        self, session: session_module.Session, message: link.Message
     ) -> None:
         """Act on a message; one that makes no sense ends its link alone."""
         try:
-            self._handlers[message['type']](self, one, message)
+            self._handlers[message['type']](self, session, message)
         except (ArithmeticError, ValueError, TypeError, KeyError) as error:
             # The schema bounds types, not sense: a peer with a fault can
             # send a time of 2**70 ms, and must not take this VM with it.
-            link.DROPPED.labels('senseless').inc()
+            link.DROPPED_MESSAGES.labels('senseless').inc()
             raise errors.DecodeError(f'{message["type"]}: {error}') from error
 
-    async def _beat_loop(self) -> None:
+    async def _heartbeat_loop(self) -> None:
         """Do once a heartbeat all that is due by time."""
         # One loop and one timer: most of an idle node's processor time is
         # spent on waking up.
         interval_s = self._settings.heartbeat_s
         while True:
             now_s = self._clock()
-            self._beat_round(now_s)
-            self._dial_wanted(now_s)
-            for one in list(self._sessions):
-                if now_s - one.heard_s > self._settings.suspect_s:
-                    one.scope.cancel()
+            self._request_heartbeats(now_s)
+            self._update_links(now_s)
+            for session in list(self._sessions):
+                if now_s - session.last_received_s > self._settings.suspect_s:
+                    session.scope.cancel()
             gone_s = self._settings.gone_s
-            self._teller.spread_members(self._members.expire(now_s, gone_s))
-            self._members.forget(now_s)
+            self._broadcaster.broadcast_members(
+                self._members.expire_suspects(now_s, gone_s)
+            )
+            self._members.forget_gone(now_s)
             self._start_survey_if_due()
             # Jittered, so that nodes started together do not beat together.
             pause_s = interval_s * self._rng.uniform(0.9, 1.1)
-            pause_s = min(pause_s, self._until_survey_s())
-            await self._wait_hurry(now_s + pause_s)
+            pause_s = min(pause_s, self._next_survey_in_s())
+            await self._wait_and_update_links(now_s + pause_s)
 
-    async def _wait_hurry(self, due_s: float) -> None:
+    async def _wait_and_update_links(self, due_s: float) -> None:
         """Wait until due_s, and meanwhile replace links that ended."""
         while self._clock() < due_s:
             with trio.move_on_after(due_s - self._clock()) as scope:
-                await self._hurry.wait()
+                await self._topology_changed.wait()
             if scope.cancelled_caught:
                 return
             # A pause, so that many changes at once cost one look.
             await trio.sleep(self._settings.heartbeat_s / 10)
-            self._hurry = trio.Event()
-            self._dial_wanted(self._clock())
-
-    def _beat_round(self, now_s: float) -> None:
-        self._beats += 1
-        if self._known_at != self._members.generation:
-            self._known_at = self._members.generation
-            self._known = len(self._members.known())
-        if self._beats % MEMBERS_BEATS == 0:
+            self._topology_changed = trio.Event()
+            self._update_links(self._clock())
+
+    def _request_heartbeats(self, now_s: float) -> None:
+        self._heartbeat_rounds += 1
+        if self._voter_generation != self._members.generation:
+            self._voter_generation = self._members.generation
+            self._voter_count = len(self._members.voters())
+        if self._heartbeat_rounds % HEARTBEATS_PER_MEMBERS_DIGEST == 0:
             self._members_digest = self._members.digest()
-            self._members.count()
-        for one in self._sessions:
-            if now_s - one.beat_s >= self._settings.heartbeat_s / 2:
-                one.ask_beat()
-        LINKS.set(len(self._sessions))
+            self._members.update_metrics()
+        for session in self._sessions:
+            if (
+                now_s - session.heartbeat_sent_s
+                >= self._settings.heartbeat_s / 2
+            ):
+                session.request_heartbeat()
+        LINK_COUNT.set(len(self._sessions))
         age_s = self._freshness.age_s()
-        FRESH_AGE.set(-1.0 if age_s is None else age_s)
+        CONFIG_AGE.set(-1.0 if age_s is None else age_s)
 
-    def _dial_wanted(self, now_s: float) -> None:
+    def _update_links(self, now_s: float) -> None:
         """Open the links that this node's place asks for, close others."""
-        place = self._find_place(now_s)
-        for name in place.dial:
+        position = self._find_position(now_s)
+        for name in position.dial:
             member = self._members.by_name[name]
             self._dial_if_due(name, member.address, now_s)
-        self._close_surplus(place)
+        self._close_surplus_link(position)
         if not self._sessions:
             for address in self._settings.peer_seeds:
                 self._dial_if_due(address, address, now_s)
@@ -363,20 +378,20 @@
     def _dial_if_due(self, name: str, address: str, now_s: float) -> None:
         if not address or address == self.address or name in self._dialing:
             return
-        if self._linked(name) or self._avoidance.avoids(name, now_s):
+        if self._is_linked(name) or self._backoff.is_waiting(name, now_s):
             return
         self._nursery.start_soon(self._dial, name, address)
 
-    def _close_surplus(self, place: topology.Place) -> None:
+    def _close_surplus_link(self, position: topology.Position) -> None:
         """Close a link we opened that our place no longer asks for."""
         # One a round, and only with the others up, so that a node is never
         # without news while it moves.
-        ready = [one for one in self._sessions if one.synced]
-        if len(ready) <= len(place.dial):
+        ready = [session for session in self._sessions if session.synced]
+        if len(ready) <= len(position.dial):
             return
-        for one in ready:
-            if one.dialed and one.peer.name not in place.dial:
-                one.scope.cancel()
+        for session in ready:
+            if session.dialed and session.peer.name not in position.dial:
+                session.scope.cancel()
                 return
 
     async def _summary_loop(self) -> None:
@@ -388,12 +403,12 @@
         while True:
             await self._summaries.wait_published()
             size_bytes = 0
-            for summary in self._summaries.due():
+            for summary in self._summaries.take_due():
                 size_bytes += len(link.encode(summary))
-                self._teller.send_all(summary)
-            copies = self._known * max(1, len(self._sessions))
-            pause_s = copies * size_bytes / SUMMARY_BYTES_PER_S
-            await trio.sleep(max(SUMMARY_PAUSE_S, pause_s))
+                self._broadcaster.broadcast(summary)
+            copies = self._voter_count * max(1, len(self._sessions))
+            pause_s = copies * size_bytes / MAX_SUMMARY_BYTES_PER_S
+            await trio.sleep(max(MIN_SUMMARY_INTERVAL_S, pause_s))
 
     async def _watch_loop(self) -> None:
         """Watch the store while this node's place asks for it."""
@@ -404,40 +419,42 @@
             if not self._should_watch():
                 await trio.sleep(self._settings.heartbeat_s)
                 continue
-            if any(one.synced for one in self._sessions):
-                self._watcher.start_from_view()
-            taken, as_of_s = await self._watcher.step()
-            self._teller.spread_objects(taken, None)
-            if as_of_s is not None and self._freshness.heard_store(as_of_s):
-                self._pass_on_news()
+            if any(session.synced for session in self._sessions):
+                self._watcher.resume_from_view()
+            applied, as_of_s = await self._watcher.step()
+            self._broadcaster.broadcast_objects(applied, None)
+            if as_of_s is not None and self._freshness.record_store_view(
+                as_of_s
+            ):
+                self._send_early_heartbeats()
 
     async def _wait_for_peers(self) -> None:
         with trio.move_on_after(self._settings.heartbeat_s):
-            while not any(one.synced for one in self._sessions):
+            while not any(session.synced for session in self._sessions):
                 await trio.sleep(self._settings.heartbeat_s / 10)
 
     def _should_watch(self) -> bool:
         """Say whether to watch: by place, or for want of any peer."""
-        place = self._find_place(self._clock())
-        return place.level == 0 or not self._sessions
+        position = self._find_position(self._clock())
+        return position.level == 0 or not self._sessions
 
-    async def _list_loop(self, vm_list: vm_list_module.VmList) -> None:
+    async def _vm_list_loop(self, vm_list: vm_list_module.VmList) -> None:
         """Read the platform's list of VMs while this node watches."""
         while True:
             if self._should_watch():
                 try:
-                    self._take_list(await vm_list.read())
+                    self._apply_vm_list(await vm_list.read())
                 except (errors.StoreError, errors.DecodeError) as error:
                     loguru.logger.debug(
                         'the list of VMs was not read: {}', error
                     )
             # The first watcher reads for its failure domain; the others
             # read seldom, in case it cannot.
-            place = self._find_place(self._clock())
-            pause_s = self._settings.vms_s * (1 + 2 * place.rank)
+            position = self._find_position(self._clock())
+            pause_s = self._settings.vms_s * (1 + 2 * position.rank)
             await trio.sleep(pause_s * self._rng.uniform(0.75, 1.25))
 
-    def _take_list(self, found: list[vm_list_module.Vm]) -> None:
+    def _apply_vm_list(self, found: list[vm_list_module.Vm]) -> None:
         now_s = self._clock()
         new = [
             membership.Member(
@@ -456,159 +473,163 @@
         self._members.apply(new, now_s)
         states = {vm.name: vm.state for vm in found}
         now_ms = int(time.time() * 1000)
-        changes = self._members.poll_changes(states, now_ms)
-        self._teller.spread_listed(changes, None)
+        changes = self._members.diff_vm_list(states, now_ms)
+        self._broadcaster.merge_listed(changes, None)
 
     def _suspect(self, name: str) -> None:
-        changes = self._members.mark(name, membership.SUSPECT, self._clock())
-        self._teller.spread_members(changes)
+        changes = self._members.set_status(
+            name, membership.SUSPECT, self._clock()
+        )
+        self._broadcaster.broadcast_members(changes)
 
-    def _quiet_s(self) -> float:
+    def _survey_after_s(self) -> float:
         """Return the store's silence after which this node counts VMs.
 
         The first watcher of each failure domain counts for all, early
         enough for the count to be everywhere before any view is stale.
         The others wait longer.
         """
-        quiet_s = self._settings.freshness_s / 2
-        place = self._find_place(self._clock())
-        first = place.level == 0 and place.rank == 0
-        return quiet_s if first else 1.5 * quiet_s
+        survey_after_s = self._settings.freshness_s / 2
+        position = self._find_position(self._clock())
+        first = position.level == 0 and position.rank == 0
+        return survey_after_s if first else 1.5 * survey_after_s
 
-    def _until_survey_s(self) -> float:
+    def _next_survey_in_s(self) -> float:
         """Return the seconds until a survey would be due; never none."""
         least_s = self._settings.freshness_s / 12
-        silent_s = self._freshness.outage_age_s()
+        silent_s = self._freshness.store_silence_s()
         if silent_s is None:
             return math.inf
-        return max(least_s, self._quiet_s() - silent_s)
+        return max(least_s, self._survey_after_s() - silent_s)
 
     def _start_survey_if_due(self) -> None:
         """Count who is in reach when the store has been silent."""
-        silent_s = self._freshness.outage_age_s()
-        quiet_s = self._quiet_s()
-        if silent_s is None or silent_s < quiet_s or self._surveying:
+        silent_s = self._freshness.store_silence_s()
+        survey_after_s = self._survey_after_s()
+        if silent_s is None or silent_s < survey_after_s or self._surveying:
             return
         reached_s = self._freshness.reached_age_s()
-        if reached_s is not None and reached_s < quiet_s / 2:
+        if reached_s is not None and reached_s < survey_after_s / 2:
             return
-        first = quiet_s <= self._settings.freshness_s / 2
-        if first or self._rng.random() < STAND_INS / self._known:
-            self._nursery.start_soon(self._survey)
+        first = survey_after_s <= self._settings.freshness_s / 2
+        if first or self._rng.random() < BACKUP_SURVEYORS / self._voter_count:
+            self._nursery.start_soon(self._run_survey)
 
-    async def _survey(self) -> None:
+    async def _run_survey(self) -> None:
         self._surveying = True
         try:
             sent_s = self._clock()
             timeout_s = self._settings.freshness_s / 4
-            found = await self._surveys.start(timeout_s, False)
-            self._hear_count(found.reached, sent_s)
+            found = await self._surveys.run(timeout_s, False)
+            self._record_reached(found.reached, sent_s)
         finally:
             self._surveying = False
 
-    def _hear_count(self, reached: int, at_s: float) -> None:
+    def _record_reached(self, reached: int, at_s: float) -> None:
         """Take a count of VMs within reach and pass it on if it is news."""
-        if not self._freshness.heard_count(reached, at_s):
+        if not self._freshness.record_reached(reached, at_s):
             return
         gain_s = self._settings.freshness_s / 8
-        for one in self._sessions:
-            if at_s - one.count_s >= gain_s:
-                one.ask_beat()
+        for session in self._sessions:
+            if at_s - session.peer_reached_at_s >= gain_s:
+                session.request_heartbeat()
 
     # What is sent.
 
-    def _make_beat(self) -> link.Message:
-        with_members = self._beats % MEMBERS_BEATS == 0
-        return outgoing.beat(
+    def _make_heartbeat(self) -> link.Message:
+        includes_members_digest = (
+            self._heartbeat_rounds % HEARTBEATS_PER_MEMBERS_DIGEST == 0
+        )
+        return outgoing_messages.make_heartbeat(
             self._clock(),
             self._view,
             self._freshness,
             self._settings.freshness_s,
-            self._members_digest if with_members else None,
+            self._members_digest if includes_members_digest else None,
         )
 
-    def _pass_on_news(self) -> None:
+    def _send_early_heartbeats(self) -> None:
         """Beat early to the peers that our news would make much fresher."""
         as_of_s = self._freshness.as_of_s or 0.0
-        gain_s = PASS_ON_SHARE * self._settings.watch_s
-        for one in self._sessions:
-            if as_of_s - one.news_s >= gain_s:
-                one.ask_beat()
+        gain_s = EARLY_HEARTBEAT_SHARE * self._settings.watch_s
+        for session in self._sessions:
+            if as_of_s - session.peer_as_of_s >= gain_s:
+                session.request_heartbeat()
 
     # What is heard.
 
-    def _take_members(
-        self, one: session_module.Session, message: messages.PeerMembers
+    def _handle_members(
+        self, session: session_module.Session, message: messages.PeerMembers
     ) -> None:
         found = [membership.from_message(m) for m in message['members']]
         changes = self._members.apply(found, self._clock())
         # A refutation of a claim about us must reach the claimant too.
         own = [member for member in changes if member.name == self.name]
-        self._teller.spread_members(own)
+        self._broadcaster.broadcast_members(own)
         others = [member for member in changes if member.name != self.name]
-        self._teller.spread_members(others, one)
+        self._broadcaster.broadcast_members(others, session)
 
-    def _take_listed(
-        self, one: session_module.Session, message: messages.PeerListed
+    def _handle_listed(
+        self, session: session_module.Session, message: messages.PeerListed
     ) -> None:
         found = {
             name: membership.ListedState(**entry)
             for name, entry in message['states'].items()
         }
-        self._teller.spread_listed(found, one)
+        self._broadcaster.merge_listed(found, session)
 
-    def _take_objects(
-        self, one: session_module.Session, message: messages.PeerObjects
+    def _handle_objects(
+        self, session: session_module.Session, message: messages.PeerObjects
     ) -> None:
-        found = spread.as_objects(message['objects'])
+        found = store_watcher.to_stored_objects(message['objects'])
         for item in found:
-            one.has(item)
-        self._teller.spread_objects(self._view.apply(found), one)
+            session.drop_queued(item)
+        self._broadcaster.broadcast_objects(self._view.apply(found), session)
         if message['final']:
-            one.synced = True
-            one.differed_s = None
+            session.synced = True
+            session.differing_since_s = None
 
-    def _take_ask(
-        self, one: session_module.Session, message: messages.PeerAsk
+    def _handle_ask(
+        self, session: session_module.Session, message: messages.PeerAsk
     ) -> None:
         missing = self._view.differing(message['buckets'])
-        one.add_objects(missing, final=True)
+        session.queue_objects(missing, final=True)
 
-    def _take_beat(
-        self, one: session_module.Session, beat: messages.PeerBeat
+    def _handle_heartbeat(
+        self, session: session_module.Session, heartbeat: messages.PeerBeat
     ) -> None:
         now_s = self._clock()
-        known = one.heard_beat(beat, now_s)
-        one.heard_news(beat, known)
-        self._repair_if_due(one, beat, now_s)
-        self._teller.compare_members(one, beat)
-        if known is None or not one.synced:
+        send_time = session.record_heartbeat(heartbeat, now_s)
+        session.record_peer_freshness(heartbeat, send_time)
+        self._repair_if_due(session, heartbeat, now_s)
+        self._broadcaster.repair_members(session, heartbeat)
+        if send_time is None or not session.synced:
             return
-        self._hear(one, beat, known.sent_after_s)
+        self._record_freshness(session, heartbeat, send_time.sent_after_s)
 
-    def _hear(
+    def _record_freshness(
         self,
-        one: session_module.Session,
-        beat: messages.PeerBeat,
+        session: session_module.Session,
+        heartbeat: messages.PeerBeat,
         sent_after_s: float,
     ) -> None:
         """Take from a beat how fresh the sender's view was."""
-        if 'age_ms' in beat:
-            as_of_s = sent_after_s - beat['age_ms'] / 1000
-            if self._freshness.heard_store(as_of_s):
-                self._pass_on_news()
-        if 'outage_age_ms' in beat:
-            silent_s = beat['outage_age_ms'] / 1000
-            self._freshness.heard_outage(sent_after_s - silent_s)
-        if 'reached' in beat and 'reached_age_ms' in beat:
-            at_s = sent_after_s - beat['reached_age_ms'] / 1000
-            one.count_s = max(one.count_s, at_s)
-            self._hear_count(beat['reached'], at_s)
+        if 'age_ms' in heartbeat:
+            as_of_s = sent_after_s - heartbeat['age_ms'] / 1000
+            if self._freshness.record_store_view(as_of_s):
+                self._send_early_heartbeats()
+        if 'outage_age_ms' in heartbeat:
+            silent_s = heartbeat['outage_age_ms'] / 1000
+            self._freshness.record_peer_view(sent_after_s - silent_s)
+        if 'reached' in heartbeat and 'reached_age_ms' in heartbeat:
+            at_s = sent_after_s - heartbeat['reached_age_ms'] / 1000
+            session.peer_reached_at_s = max(session.peer_reached_at_s, at_s)
+            self._record_reached(heartbeat['reached'], at_s)
 
     def _repair_if_due(
         self,
-        one: session_module.Session,
-        beat: messages.PeerBeat,
+        session: session_module.Session,
+        heartbeat: messages.PeerBeat,
         now_s: float,
     ) -> None:
         """Ask for objects when two views stay different.
@@ -616,86 +637,88 @@
         Views differ for an instant at each change. They stay different when
         an object was missed, for which the cause does not matter here.
         """
-        if beat['digest'] == self._view.digest:
-            one.differed_s = None
+        if heartbeat['digest'] == self._view.digest:
+            session.differing_since_s = None
             return
-        moved = beat['digest'] != one.peer_digest
-        one.peer_digest = beat['digest']
-        if one.differed_s is None or moved:
-            one.differed_s = now_s
-        if now_s - one.differed_s < 2 * self._settings.heartbeat_s:
+        peer_changed = heartbeat['digest'] != session.peer_digest
+        session.peer_digest = heartbeat['digest']
+        if session.differing_since_s is None or peer_changed:
+            session.differing_since_s = now_s
+        if now_s - session.differing_since_s < 2 * self._settings.heartbeat_s:
             return
-        one.differed_s = now_s
-        if beat['revision'] >= self._view.revision:
+        session.differing_since_s = now_s
+        if heartbeat['revision'] >= self._view.revision:
             # Its news say nothing of our view until the hole is mended.
-            one.synced = False
-        REPAIRS.inc()
+            session.synced = False
+        CONFIG_REPAIRS.inc()
         buckets = self._view.buckets if self._view.objects else []
-        one.add({'type': 'ask', 'buckets': buckets})
+        session.queue({'type': 'ask', 'buckets': buckets})
 
-    def _take_summary(
-        self, one: session_module.Session, message: messages.PeerSummary
+    def _handle_summary(
+        self, session: session_module.Session, message: messages.PeerSummary
     ) -> None:
-        if self._summaries.take(message):
-            self._teller.send_all(typing.cast(link.Message, message), one)
+        if self._summaries.apply(message):
+            self._broadcaster.broadcast(
+                typing.cast(link.Message, message), session
+            )
 
-    def _take_survey(
-        self, one: session_module.Session, message: messages.PeerSurvey
+    def _handle_survey(
+        self, session: session_module.Session, message: messages.PeerSurvey
     ) -> None:
-        self._nursery.start_soon(self._surveys.answer, one, message)
+        self._nursery.start_soon(self._surveys.answer, session, message)
 
-    def _take_survey_answer(
+    def _handle_survey_answer(
         self,
-        one: session_module.Session,
+        session: session_module.Session,
         message: messages.PeerSurveyAnswer,
     ) -> None:
-        self._surveys.take_answer(one, message)
+        self._surveys.handle_answer(session, message)
 
-    def _take_probe(
-        self, one: session_module.Session, message: messages.PeerProbe
+    def _handle_probe(
+        self, session: session_module.Session, message: messages.PeerProbe
     ) -> None:
         if 'heard' in message:
-            self._questions.take_answer(message)
+            self._prober.handle_answer(message)
         else:
             self._nursery.start_soon(
-                self._questions.answer, one, message['name']
+                self._prober.answer_probe, session, message['name']
             )
 
     _handlers: typing.ClassVar[dict[str, typing.Any]] = {
-        'members': _take_members,
-        'listed': _take_listed,
-        'objects': _take_objects,
-        'ask': _take_ask,
-        'beat': _take_beat,
-        'summary': _take_summary,
-        'survey': _take_survey,
-        'survey_answer': _take_survey_answer,
-        'probe': _take_probe,
-        'hello': lambda self, one, message: None,
+        'members': _handle_members,
+        'listed': _handle_listed,
+        'objects': _handle_objects,
+        'ask': _handle_ask,
+        'beat': _handle_heartbeat,
+        'summary': _handle_summary,
+        'survey': _handle_survey,
+        'survey_answer': _handle_survey_answer,
+        'probe': _handle_probe,
+        'hello': lambda self, session, message: None,
     }
 
     # Places.
 
-    def _linked(self, name: str) -> bool:
-        return any(one.peer.name == name for one in self._sessions)
+    def _is_linked(self, name: str) -> bool:
+        return any(session.peer.name == name for session in self._sessions)
 
-    def _find_place(self, now_s: float) -> topology.Place:
+    def _find_position(self, now_s: float) -> topology.Position:
         avoid = frozenset(
             name
-            for name in self._avoidance.names(now_s)
-            if not self._linked(name)
+            for name in self._backoff.waiting_names(now_s)
+            if not self._is_linked(name)
         )
         key = (self._members.generation, avoid)
-        if key != self._place_key or self._place is None:
-            self._place_key = key
-            self._place = topology.place(
+        if key != self._position_key or self._position is None:
+            self._position_key = key
+            self._position = topology.find_position(
                 self.name,
-                self._members.placed(),
+                self._members.tree_domains(),
                 self._settings.watchers_per_domain,
                 self._settings.peer_fanout,
                 avoid,
             )
-        return self._place
+        return self._position
 
 
 def make_node(
--- a/gentianstair/peers/outgoing.py
+++ b/gentianstair/peers/outgoing_messages.py
@@ -8,7 +8,7 @@
 from gentianstair.peers import membership
 
 
-def hello(view: views.View, members: membership.Members) -> link.Message:
+def make_hello(view: views.View, members: membership.Members) -> link.Message:
     """Return the first message on a link: who this is, and what it has."""
     return {
         'type': 'hello',
@@ -19,7 +19,7 @@
     }
 
 
-def beat(
+def make_heartbeat(
     now_s: float,
     view: views.View,
     freshness: freshness_module.Freshness,
@@ -39,9 +39,9 @@
     age_s = freshness.age_s()
     if age_s is not None and age_s <= freshness_s:
         found['age_ms'] = int(age_s * 1000) + 1
-    outage_s = freshness.outage_age_s()
-    if outage_s is not None and 'age_ms' not in found:
-        found['outage_age_ms'] = int(outage_s * 1000) + 1
+    silence_s = freshness.store_silence_s()
+    if silence_s is not None and 'age_ms' not in found:
+        found['outage_age_ms'] = int(silence_s * 1000) + 1
     reached_s = freshness.reached_age_s()
     if reached_s is not None and reached_s <= freshness_s:
         found['reached'] = freshness.reached
@@ -51,7 +51,7 @@
     return found
 
 
-def members(found: typing.Iterable[membership.Member]) -> link.Message:
+def make_members(found: typing.Iterable[membership.Member]) -> link.Message:
     """Return what is known of some members."""
     return {
         'type': 'members',
@@ -59,7 +59,7 @@
     }
 
 
-def listed(found: dict[str, membership.ListedState]) -> link.Message:
+def make_listed(found: dict[str, membership.ListedState]) -> link.Message:
     """Return what the platform's list says of VMs."""
     states = {name: entry._asdict() for name, entry in found.items()}
     return {'type': 'listed', 'states': states}
--- a/gentianstair/peers/session.py
+++ b/gentianstair/peers/session.py
@@ -12,9 +12,9 @@
 from gentianstair.store import store
 
 # Objects in one message; a slow peer gets newer beats between two.
-CHUNK_OBJECTS = 200
+MAX_OBJECTS_PER_MESSAGE = 200
 # Messages other than objects that may wait for a slow peer.
-MAX_WAITING = 5000
+MAX_QUEUED_MESSAGES = 5000
 
 
 class Session:
@@ -35,84 +35,89 @@
         self.channel = channel
         self.peer = peer
         self.dialed = dialed
-        self.heard_s = now_s
+        self.last_received_s = now_s
         self.synced = False
         self.scope = trio.CancelScope()
         # When the last beat was sent, and how recent the peer's news are
         # at the least, by what it told us and what we told it.
-        self.beat_s = now_s
-        self.news_s = 0.0
+        self.heartbeat_sent_s = now_s
+        self.peer_as_of_s = 0.0
         # When the newest count of VMs that both ends know of was made.
-        self.count_s = 0.0
+        self.peer_reached_at_s = 0.0
         self.peer_digest = 0
-        self.differed_s: float | None = None
-        self.members_differed = 0
-        self.answers: dict[str, trio.MemorySendChannel] = {}
-        self._echo: tuple[int, float] | None = None
+        self.differing_since_s: float | None = None
+        self.members_mismatches = 0
+        self.survey_answers: dict[str, trio.MemorySendChannel] = {}
+        self._last_stamp: tuple[int, float] | None = None
         self._objects: dict[tuple[str, str], store.StoredObject] = {}
-        self._finals = 0
-        self._others: collections.deque[link.Message] = collections.deque()
-        self._beat_due = False
+        self._finals_due = 0
+        self._messages: collections.deque[link.Message] = collections.deque()
+        self._heartbeat_due = False
         self._wake = trio.Event()
 
-    def add_objects(
-        self, found: typing.Iterable[store.StoredObject], final: bool = False
+    def queue_objects(
+        self, objects: typing.Iterable[store.StoredObject], final: bool = False
     ) -> None:
         """Queue objects; a newer version replaces one that still waits."""
-        for item in found:
+        for item in objects:
             self._objects.pop((item.kind, item.name), None)
             self._objects[(item.kind, item.name)] = item
-        self._finals += final
+        self._finals_due += final
         self._wake.set()
 
-    def add(self, message: link.Message) -> None:
+    def queue(self, message: link.Message) -> None:
         """Queue any other message."""
-        if len(self._others) >= MAX_WAITING:
+        if len(self._messages) >= MAX_QUEUED_MESSAGES:
             # The peer shows life but does not read, and what waits for it
             # would grow for as long as it does. A new link starts clean.
             self.scope.cancel()
             return
-        self._others.append(message)
+        self._messages.append(message)
         self._wake.set()
 
-    def ask_beat(self) -> None:
+    def request_heartbeat(self) -> None:
         """Send a beat once all that waits is out."""
-        self._beat_due = True
+        self._heartbeat_due = True
         self._wake.set()
 
-    def has(self, item: store.StoredObject) -> None:
+    def drop_queued(self, item: store.StoredObject) -> None:
         """Note that the peer sent this object, so it need not be sent."""
         waiting = self._objects.get((item.kind, item.name))
         if waiting is not None and waiting.version <= item.version:
             del self._objects[(item.kind, item.name)]
 
-    def heard_beat(
-        self, beat: messages.PeerBeat, now_s: float
-    ) -> freshness.Estimate | None:
+    def record_heartbeat(
+        self, heartbeat: messages.PeerBeat, now_s: float
+    ) -> freshness.SendTime | None:
         """Note the peer's stamp; return when the beat was sent."""
-        self._echo = (beat['sent_ms'], now_s)
-        return freshness.estimate(beat.get('echo_ms'), beat.get('held_ms'))
+        self._last_stamp = (heartbeat['sent_ms'], now_s)
+        return freshness.earliest_send_time(
+            heartbeat.get('echo_ms'), heartbeat.get('held_ms')
+        )
 
-    def heard_news(
+    def record_peer_freshness(
         self,
-        beat: messages.PeerBeat,
-        sent: freshness.Estimate | None,
+        heartbeat: messages.PeerBeat,
+        send_time: freshness.SendTime | None,
     ) -> None:
         """Note how recent the peer's own news are."""
-        if sent is not None and 'age_ms' in beat:
-            news_s = sent.sent_after_s - beat['age_ms'] / 1000
-            self.news_s = max(self.news_s, news_s)
+        if send_time is not None and 'age_ms' in heartbeat:
+            as_of_s = send_time.sent_after_s - heartbeat['age_ms'] / 1000
+            self.peer_as_of_s = max(self.peer_as_of_s, as_of_s)
 
-    def _echoes(self, now_s: float) -> link.Message:
-        if self._echo is None:
+    def _echo_fields(self, now_s: float) -> link.Message:
+        if self._last_stamp is None:
             return {}
-        sent_ms, at_s = self._echo
+        sent_ms, received_s = self._last_stamp
         # Rounded down, so that the peer never takes us for fresher.
-        return {'echo_ms': sent_ms, 'held_ms': int((now_s - at_s) * 1000)}
+        return {
+            'echo_ms': sent_ms,
+            'held_ms': int((now_s - received_s) * 1000),
+        }
 
     async def write(
         self,
-        make_beat: typing.Callable[[], link.Message],
+        make_heartbeat: typing.Callable[[], link.Message],
         clock: typing.Callable[[], float],
     ) -> None:
         """Send what is queued until cancelled.
@@ -123,32 +128,42 @@
         while True:
             await self._wake.wait()
             self._wake = trio.Event()
-            while self._objects or self._finals or self._others:
+            while self._objects or self._finals_due or self._messages:
                 await self._write_objects()
-                while self._others:
-                    message = self._others.popleft()
+                while self._messages:
+                    message = self._messages.popleft()
                     await self.channel.send(link.encode(message))
-            if self._beat_due:
-                self._beat_due = False
-                self.beat_s = clock()
-                beat = {**make_beat(), **self._echoes(self.beat_s)}
-                if 'age_ms' in beat:
-                    news_s = self.beat_s - beat['age_ms'] / 1000
-                    self.news_s = max(self.news_s, news_s)
-                if 'reached_age_ms' in beat:
-                    count_s = self.beat_s - beat['reached_age_ms'] / 1000
-                    self.count_s = max(self.count_s, count_s)
-                await self.channel.send(link.encode(beat))
+            if self._heartbeat_due:
+                self._heartbeat_due = False
+                self.heartbeat_sent_s = clock()
+                heartbeat = {
+                    **make_heartbeat(),
+                    **self._echo_fields(self.heartbeat_sent_s),
+                }
+                if 'age_ms' in heartbeat:
+                    as_of_s = (
+                        self.heartbeat_sent_s - heartbeat['age_ms'] / 1000
+                    )
+                    self.peer_as_of_s = max(self.peer_as_of_s, as_of_s)
+                if 'reached_age_ms' in heartbeat:
+                    reached_at_s = (
+                        self.heartbeat_sent_s
+                        - heartbeat['reached_age_ms'] / 1000
+                    )
+                    self.peer_reached_at_s = max(
+                        self.peer_reached_at_s, reached_at_s
+                    )
+                await self.channel.send(link.encode(heartbeat))
 
     async def _write_objects(self) -> None:
-        while self._objects or self._finals:
-            places = list(self._objects)[:CHUNK_OBJECTS]
-            chunk = [self._objects.pop(place)._asdict() for place in places]
-            final = not self._objects and self._finals > 0
+        while self._objects or self._finals_due:
+            keys = list(self._objects)[:MAX_OBJECTS_PER_MESSAGE]
+            batch = [self._objects.pop(key)._asdict() for key in keys]
+            final = not self._objects and self._finals_due > 0
             if final:
-                self._finals = 0
+                self._finals_due = 0
             await self.channel.send(
                 link.encode(
-                    {'type': 'objects', 'objects': chunk, 'final': final}
+                    {'type': 'objects', 'objects': batch, 'final': final}
                 )
             )
--- a/gentianstair/peers/spread.py
+++ b/gentianstair/peers/store_watcher.py
@@ -13,16 +13,16 @@
 
 # Pause after a watch that found changes, so that a burst of changes costs
 # a few calls and not one for each.
-COALESCE_S = 0.05
+COALESCE_PAUSE_S = 0.05
 # Share of a watch's time after which the store's clock may call it over.
-WAITED_SHARE = 0.98
-RETRY_S = 0.25
+FULL_WAIT_SHARE = 0.98
+MIN_RETRY_S = 0.25
 MAX_RETRY_S = 4.0
 
-STORE_ERRORS = prometheus_client.Counter(
+WATCH_ERRORS = prometheus_client.Counter(
     'gentianstair_watch_errors', 'Watches of the store that failed.'
 )
-PAST_ANSWERS = prometheus_client.Counter(
+STALE_ANSWERS = prometheus_client.Counter(
     'gentianstair_watch_past_answers',
     'Answers of the store from before a revision already seen.',
 )
@@ -44,14 +44,14 @@
         self._clock = clock
         self._watch_s = watch_s
         self._rng = rng
-        self._retry_s = RETRY_S
+        self._retry_s = MIN_RETRY_S
         # The store revision up to which this watcher saw all changes; None
         # until it listed, or knows that peers gave it a whole view.
         self._cursor: int | None = None
-        self._highest = 0
+        self._highest_revision = 0
         self._pause_s = 0.0
 
-    def start_from_view(self) -> None:
+    def resume_from_view(self) -> None:
         """Skip the listing: the view came whole from a peer."""
         if self._cursor is None and self._view.revision:
             self._cursor = self._view.revision
@@ -73,38 +73,38 @@
             self._cursor = None
             return [], None
         except errors.StoreError:
-            STORE_ERRORS.inc()
+            WATCH_ERRORS.inc()
             # Jittered, so that the fleet's watchers do not return to a
             # store that has just come back all at the same instant.
             await trio.sleep(self._retry_s * self._rng.uniform(0.5, 1.0))
             self._retry_s = min(2 * self._retry_s, MAX_RETRY_S)
             return [], None
-        self._retry_s = RETRY_S
+        self._retry_s = MIN_RETRY_S
         return found
 
     async def _list(
         self,
     ) -> tuple[list[store_module.StoredObject], float | None]:
         sent_s = self._clock()
-        taken = []
+        applied = []
         revisions = []
         for kind in view_module.KINDS:
             found = await self._store.list(kind, purpose='config')
             revisions.append(found.revision)
-            taken += self._view.apply(found.objects)
-            taken += self._view.apply(self._deleted(kind, found))
+            applied += self._view.apply(found.objects)
+            applied += self._view.apply(self._find_deleted(kind, found))
         self._cursor = min(revisions)
-        return taken, self._trust(self._cursor, sent_s)
+        return applied, self._as_of_unless_stale(self._cursor, sent_s)
 
-    def _deleted(
+    def _find_deleted(
         self, kind: str, found: store_module.Listing
     ) -> list[store_module.StoredObject]:
         """Return deletions that a listing shows by leaving objects out."""
-        there = {item.name for item in found.objects}
+        listed_names = {item.name for item in found.objects}
         return [
             store_module.StoredObject(kind, item.name, found.revision, None)
             for item in self._view.live(kind)
-            if item.name not in there and item.version < found.revision
+            if item.name not in listed_names and item.version < found.revision
         ]
 
     async def _watch(
@@ -116,33 +116,37 @@
             view_module.KINDS, cursor, self._watch_s, purpose='config-watch'
         )
         as_of_s = sent_s
-        waited_s = WAITED_SHARE * self._watch_s
+        waited_s = FULL_WAIT_SHARE * self._watch_s
         if not found.objects and self._clock() - sent_s >= waited_s:
             # The store waited the whole time before it said that nothing
             # changed, so that is when it was true.
             as_of_s = sent_s + waited_s
-        trusted_s = self._trust(found.revision, as_of_s)
+        confirmed_s = self._as_of_unless_stale(found.revision, as_of_s)
         self._cursor = max(cursor, found.revision)
-        taken = self._view.apply(found.objects)
-        self._pause_s = COALESCE_S if found.objects else 0.0
-        return taken, trusted_s
+        applied = self._view.apply(found.objects)
+        self._pause_s = COALESCE_PAUSE_S if found.objects else 0.0
+        return applied, confirmed_s
 
-    def _trust(self, revision: int, as_of_s: float) -> float | None:
+    def _as_of_unless_stale(
+        self, revision: int, as_of_s: float
+    ) -> float | None:
         """Return as_of_s unless the store answered from the past.
 
         A replica that lags shows a revision below one that we, or a peer,
         have seen. What it says is old news and must not count as fresh, or
         a revoked key would work for as long as the replica lags.
         """
-        self._highest = max(self._highest, self._view.revision)
-        if revision < self._highest:
-            PAST_ANSWERS.inc()
+        self._highest_revision = max(
+            self._highest_revision, self._view.revision
+        )
+        if revision < self._highest_revision:
+            STALE_ANSWERS.inc()
             return None
-        self._highest = revision
+        self._highest_revision = revision
         return as_of_s
 
 
-def as_objects(
+def to_stored_objects(
     found: typing.Iterable[typing.Mapping[str, typing.Any]],
 ) -> list[store_module.StoredObject]:
     """Return the objects that a message carries."""
--- a/gentianstair/peers/summaries.py
+++ b/gentianstair/peers/summaries.py
@@ -11,7 +11,7 @@
 from gentianstair.peers import link
 
 MAX_BODY_BYTES = 4096
-MAX_TOPICS = 16
+MAX_TOPICS_PER_VM = 16
 
 Body = dict[str, typing.Any]
 Handler = typing.Callable[[str, Body], None]
@@ -25,7 +25,7 @@
         self._incarnation = incarnation
         self._sequence = 0
         self._latest: dict[tuple[str, str], link.Message] = {}
-        self._waiting: dict[str, Body] = {}
+        self._pending: dict[str, Body] = {}
         self._published = trio.Event()
         self._handlers = collections.defaultdict(list)
 
@@ -37,7 +37,7 @@
         size = len(cbor2.dumps(body))
         if size > MAX_BODY_BYTES:
             raise errors.DecodeError(f'summary {topic}: {size} bytes')
-        self._waiting[topic] = body
+        self._pending[topic] = body
         self._published.set()
 
     async def wait_published(self) -> None:
@@ -48,10 +48,10 @@
         """Call handler(origin, body) for each change of another VM."""
         self._handlers[topic].append(handler)
 
-    def due(self) -> list[link.Message]:
+    def take_due(self) -> list[link.Message]:
         """Return what changed of this node's summaries since last time."""
-        made = []
-        for topic, body in self._waiting.items():
+        changed = []
+        for topic, body in self._pending.items():
             known = self._latest.get((self._name, topic))
             if known is not None and known['body'] == body:
                 continue
@@ -65,37 +65,37 @@
                 'body': body,
             }
             self._latest[(self._name, topic)] = message
-            made.append(message)
-        self._waiting.clear()
+            changed.append(message)
+        self._pending.clear()
         self._published = trio.Event()
-        return made
+        return changed
 
-    def take(self, found: messages.PeerSummary) -> bool:
+    def apply(self, summary: messages.PeerSummary) -> bool:
         """Take a summary of another VM; say whether it is news here."""
-        origin, topic = found['origin'], found['topic']
+        origin, topic = summary['origin'], summary['topic']
         if origin == self._name:
             return False
         known = self._latest.get((origin, topic))
         if known is not None:
             newest = (known['incarnation'], known['sequence'])
-            if (found['incarnation'], found['sequence']) <= newest:
+            if (summary['incarnation'], summary['sequence']) <= newest:
                 return False
         elif sum(1 for name, _ in self._latest if name == origin) >= (
-            MAX_TOPICS
+            MAX_TOPICS_PER_VM
         ):
-            link.DROPPED.labels('too many topics').inc()
+            link.DROPPED_MESSAGES.labels('too many topics').inc()
             return False
-        self._latest[(origin, topic)] = typing.cast(link.Message, found)
+        self._latest[(origin, topic)] = typing.cast(link.Message, summary)
         for handler in self._handlers[topic]:
-            handler(origin, found['body'])
+            handler(origin, summary['body'])
         return True
 
-    def all(self) -> list[link.Message]:
+    def latest(self) -> list[link.Message]:
         """Return the newest summary of each VM and topic."""
         return list(self._latest.values())
 
-    def forget(self, names: typing.Container[str]) -> None:
+    def forget_origins(self, origins: typing.Container[str]) -> None:
         """Drop the summaries of VMs that are gone."""
         for origin, topic in list(self._latest):
-            if origin in names:
+            if origin in origins:
                 del self._latest[(origin, topic)]
--- a/gentianstair/peers/survey.py
+++ b/gentianstair/peers/survey.py
@@ -14,12 +14,12 @@
 
 from gentianstair.generated import messages
 from gentianstair.peers import link
-from gentianstair.peers import session
+from gentianstair.peers import session as session_module
 
 # Share of the time left that one hop leaves to the hops behind it.
-HOP_SHARE = 0.8
-REMEMBERED = 256
-MAX_LEFT_MS = 10000
+HOP_TIMEOUT_SHARE = 0.8
+MAX_REMEMBERED_SURVEYS = 256
+MAX_TIMEOUT_MS = 10000
 
 
 class Result(typing.NamedTuple):
@@ -36,21 +36,21 @@
         self,
         name: str,
         revision: typing.Callable[[], int],
-        sessions: typing.Callable[[], list[session.Session]],
+        sessions: typing.Callable[[], list[session_module.Session]],
     ) -> None:
         self._name = name
         self._revision = revision
         self._sessions = sessions
         self._seen: dict[str, None] = {}
 
-    async def start(self, timeout_s: float, revisions: bool) -> Result:
+    async def run(self, timeout_s: float, revisions: bool) -> Result:
         """Run a survey from here."""
         survey_id = f'{self._name}/{secrets.token_hex(6)}'
         self._remember(survey_id)
-        return await self._ask(survey_id, timeout_s, revisions, None)
+        return await self._flood(survey_id, timeout_s, revisions, None)
 
     async def answer(
-        self, asker: session.Session, survey: messages.PeerSurvey
+        self, requester: session_module.Session, survey: messages.PeerSurvey
     ) -> None:
         """Answer a survey that came on a link."""
         survey_id = survey['survey_id']
@@ -58,11 +58,13 @@
             found = Result(0, {})
         else:
             self._remember(survey_id)
-            left_ms = min(survey['left_ms'], MAX_LEFT_MS)
-            left_s = max(0, left_ms) / 1000 * HOP_SHARE
-            wanted = survey['revisions']
-            found = await self._ask(survey_id, left_s, wanted, asker)
-        asker.add(
+            timeout_ms = min(survey['left_ms'], MAX_TIMEOUT_MS)
+            timeout_s = max(0, timeout_ms) / 1000 * HOP_TIMEOUT_SHARE
+            with_revisions = survey['revisions']
+            found = await self._flood(
+                survey_id, timeout_s, with_revisions, requester
+            )
+        requester.queue(
             {
                 'type': 'survey_answer',
                 'survey_id': survey_id,
@@ -73,52 +75,54 @@
 
     def _remember(self, survey_id: str) -> None:
         self._seen[survey_id] = None
-        while len(self._seen) > REMEMBERED:
+        while len(self._seen) > MAX_REMEMBERED_SURVEYS:
             del self._seen[next(iter(self._seen))]
 
-    async def _ask(
+    async def _flood(
         self,
         survey_id: str,
-        left_s: float,
-        wanted: bool,
-        asker: session.Session | None,
+        timeout_s: float,
+        with_revisions: bool,
+        requester: session_module.Session | None,
     ) -> Result:
         reached = 1
-        revisions = {self._name: self._revision()} if wanted else {}
-        asked = [one for one in self._sessions() if one is not asker]
+        revisions = {self._name: self._revision()} if with_revisions else {}
+        asked = [
+            session for session in self._sessions() if session is not requester
+        ]
         send, receive = trio.open_memory_channel(math.inf)
-        for one in asked:
-            one.answers[survey_id] = send
-            one.add(
+        for session in asked:
+            session.survey_answers[survey_id] = send
+            session.queue(
                 {
                     'type': 'survey',
                     'survey_id': survey_id,
-                    'left_ms': int(left_s * 1000),
-                    'revisions': wanted,
+                    'left_ms': int(timeout_s * 1000),
+                    'revisions': with_revisions,
                 }
             )
-        with trio.move_on_after(left_s):
+        with trio.move_on_after(timeout_s):
             for _ in asked:
                 found = await receive.receive()
                 reached += found['reached']
                 revisions.update(found['revisions'])
-        for one in asked:
-            one.answers.pop(survey_id, None)
+        for session in asked:
+            session.survey_answers.pop(survey_id, None)
         return Result(reached, revisions)
 
     @staticmethod
-    def take_answer(
-        source: session.Session, answer: messages.PeerSurveyAnswer
+    def handle_answer(
+        source: session_module.Session, answer: messages.PeerSurveyAnswer
     ) -> None:
         """Hand an answer to the survey that waits for it, if still so."""
-        send = source.answers.pop(answer['survey_id'], None)
+        send = source.survey_answers.pop(answer['survey_id'], None)
         if send is not None:
             send.send_nowait(answer)
 
 
-def lost_link(source: session.Session) -> None:
+def answer_for_lost_link(source: session_module.Session) -> None:
     """Count the part behind a broken link as nought, at once."""
-    answers = dict(source.answers)
-    source.answers.clear()
+    answers = dict(source.survey_answers)
+    source.survey_answers.clear()
     for send in answers.values():
         send.send_nowait(link.Message(reached=0, revisions={}))
--- a/standins/memory_network.py
+++ b/standins/memory_network.py
@@ -23,7 +23,7 @@
     def __init__(self, latency_s: float = 0.001) -> None:
         self.latency_s = latency_s
         self.cuts: set[tuple[str, str]] = set()
-        self.handlers: dict[str, tuple[trio.Nursery, link.Handler]] = {}
+        self.handlers: dict[str, tuple[trio.Nursery, link.ChannelHandler]] = {}
         self.healed = trio.Event()
         self.bytes_sent = 0
 
@@ -144,7 +144,7 @@
 
     async def serve(
         self,
-        handler: link.Handler,
+        handler: link.ChannelHandler,
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
     ) -> None:
         """See Network.serve."""
@@ -162,7 +162,9 @@
         await channel.aclose()
 
 
-async def _handle(handler: link.Handler, channel: MemoryChannel) -> None:
+async def _handle(
+    handler: link.ChannelHandler, channel: MemoryChannel
+) -> None:
     try:
         await handler(channel)
     finally:
--- a/test/peers/fleet.py
+++ b/test/peers/fleet.py
@@ -16,7 +16,7 @@
 from standins.platform import objects
 
 
-class FakeList(vm_list.VmList):
+class FakeVmList(vm_list.VmList):
     """A list of VMs that a test writes."""
 
     def __init__(self):
@@ -27,7 +27,7 @@
         return list(self.vms.values())
 
 
-class Running:
+class RunningVm:
     """One node of a fleet and what belongs to it."""
 
     def __init__(self, node, view, store, scope):
@@ -44,7 +44,7 @@
         self.nursery = nursery
         self.hub = memory_network.Hub()
         self.table = objects.ObjectTable()
-        self.list = FakeList()
+        self.vm_list = FakeVmList()
         self.running = {}
         self.rng = random.Random(seed)
         self.settings = settings
@@ -69,12 +69,12 @@
             store,
             clock.trio_time_s,
             memory_network.MemoryNetwork(self.hub, address),
-            self.list,
+            self.vm_list,
             random.Random(self.rng.random()),
         )
         scope = trio.CancelScope()
-        self.list.vms[name] = vm_list.Vm(name, address, domain)
-        self.running[name] = Running(node, view, store, scope)
+        self.vm_list.vms[name] = vm_list.Vm(name, address, domain)
+        self.running[name] = RunningVm(node, view, store, scope)
         self.nursery.start_soon(self._run, node, scope)
 
     async def _run(self, node, scope):
@@ -97,24 +97,24 @@
         self.versions[(kind, name)] = made if value is not None else 0
         return made
 
-    def each(self, names=None):
+    def select(self, names=None):
         """Return the running nodes with these names, or all."""
         return [
-            one
-            for name, one in self.running.items()
+            vm
+            for name, vm in self.running.items()
             if names is None or name in names
         ]
 
-    def set_store(self, down, names=None):
+    def set_store_down(self, down, names=None):
         """Take the store away from nodes, or give it back."""
-        for one in self.each(names):
-            one.store.faults.down = down
+        for vm in self.select(names):
+            vm.store.faults.down = down
 
     async def wait(self, condition, limit_s=30.0, names=None):
         """Wait until condition holds at each node; return the seconds."""
         start_s = trio.current_time()
         with trio.fail_after(limit_s):
-            while not all(condition(one) for one in self.each(names)):
+            while not all(condition(vm) for vm in self.select(names)):
                 await trio.sleep(0.05)
         return trio.current_time() - start_s
 
@@ -127,14 +127,13 @@
         fleet.write('customer', 'acme', CUSTOMER)
         fleet.write('key', 'k1', key())
         fleet.start_many(number, domains)
-        await fleet.wait(lambda one: one.node.is_fresh())
+        await fleet.wait(lambda vm: vm.node.is_fresh())
         # The list of VMs names members before they are linked; those heard
         # of by links have an incarnation.
         await fleet.wait(
-            lambda one: (
-                one.node.links() > 0
-                and sum(m.incarnation > 0 for m in one.node.members())
-                == number
+            lambda vm: (
+                vm.node.link_count() > 0
+                and sum(m.incarnation > 0 for m in vm.node.members()) == number
             )
         )
         yield fleet
@@ -155,7 +154,7 @@
     return {'customer': 'acme', 'label': 'k', 'revoked': revoked}
 
 
-def accepts(one, digest='k1'):
+def accepts(vm, digest='k1'):
     """Say whether a node would run a request that carries the key."""
-    found = one.view.key(digest)
-    return one.node.is_fresh() and found is not None and not found['revoked']
+    found = vm.view.key(digest)
+    return vm.node.is_fresh() and found is not None and not found['revoked']
--- a/test/peers/test_freshness.py
+++ b/test/peers/test_freshness.py
@@ -36,21 +36,21 @@
     Only news of the last 6 s, or a majority counted in the last 6 s during
     an outage of at most 60 s, let a VM serve.
     """
-    rule = freshness.Freshness(lambda: NOW_S, 6.0, 60.0)
+    freshness_state = freshness.Freshness(lambda: NOW_S, 6.0, 60.0)
     if news_s is not None:
-        rule.heard_store(news_s)
+        freshness_state.record_store_view(news_s)
     if outage_s is not None:
-        rule.heard_outage(outage_s)
+        freshness_state.record_peer_view(outage_s)
     if count_s is not None:
-        rule.heard_count(reached, count_s)
-    assert rule.is_fresh(known) is fresh
+        freshness_state.record_reached(reached, count_s)
+    assert freshness_state.is_fresh(known) is fresh
 
 
 def test_older_news_change_nothing():
-    rule = freshness.Freshness(lambda: NOW_S, 6.0, 60.0)
-    assert rule.heard_store(99.0)
-    assert not rule.heard_store(98.0)
-    assert rule.age_s() == 1.0
-    assert rule.heard_count(5, 99.0)
-    assert not rule.heard_count(8, 98.0)
-    assert rule.reached == 5
+    freshness_state = freshness.Freshness(lambda: NOW_S, 6.0, 60.0)
+    assert freshness_state.record_store_view(99.0)
+    assert not freshness_state.record_store_view(98.0)
+    assert freshness_state.age_s() == 1.0
+    assert freshness_state.record_reached(5, 99.0)
+    assert not freshness_state.record_reached(8, 98.0)
+    assert freshness_state.reached == 5
--- a/test/peers/test_node.py
+++ b/test/peers/test_node.py
@@ -17,9 +17,9 @@
 async def test_a_change_reaches_every_node(autojump_clock):
     async with fleet_module.open_fleet(12) as fleet:
         revision = fleet.write('key', 'k2', fleet_module.key())
-        took_s = await fleet.wait(lambda one: one.view.revision >= revision)
+        took_s = await fleet.wait(lambda vm: vm.view.revision >= revision)
         assert took_s < 1.0
-        found = await fleet.running['v3'].node.confirmed()
+        found = await fleet.running['v3'].node.confirmed_revisions()
         assert found == {f'v{i}': revision for i in range(12)}
 
 
@@ -37,20 +37,20 @@
         fleet.hub.split(
             [f'{name}:1' for name in cut_off], [f'{name}:1' for name in rest]
         )
-        fleet.set_store(True, cut_off)
+        fleet.set_store_down(True, cut_off)
         fleet.write('key', 'k1', fleet_module.key(revoked=True))
         await fleet.wait(
-            lambda one: not fleet_module.accepts(one), limit_s=LIMIT_S
+            lambda vm: not fleet_module.accepts(vm), limit_s=LIMIT_S
         )
         # It stays so: half of the VMs is no majority.
         for _ in range(60):
             await trio.sleep(1.0)
-            assert not any(fleet_module.accepts(one) for one in fleet.each())
-        assert all(one.node.is_fresh() for one in fleet.each(rest))
+            assert not any(fleet_module.accepts(vm) for vm in fleet.select())
+        assert all(vm.node.is_fresh() for vm in fleet.select(rest))
         fleet.hub.heal()
-        fleet.set_store(False)
-        await fleet.wait(lambda one: one.node.is_fresh())
-        assert not any(fleet_module.accepts(one) for one in fleet.each())
+        fleet.set_store_down(False)
+        await fleet.wait(lambda vm: vm.node.is_fresh())
+        assert not any(fleet_module.accepts(vm) for vm in fleet.select())
 
 
 @pytest.mark.promise
@@ -64,7 +64,7 @@
     async with fleet_module.open_fleet(3, domains=1) as fleet:
         fleet.hub.latency_s = 0.5
         await trio.sleep(10.0)
-        fleet.set_store(True, ['v0'])
+        fleet.set_store_down(True, ['v0'])
         fleet.hub.split(['v0:1'], ['v1:1', 'v2:1'])
         cut_s = trio.current_time()
         fleet.write('key', 'k1', fleet_module.key(revoked=True))
@@ -74,11 +74,11 @@
         fleet.kill('v2')
         await trio.sleep(3.0)
         fleet.hub.heal()
-        one = fleet.running['v0']
+        vm = fleet.running['v0']
         for _ in range(100):
             await trio.sleep(0.01)
             since_s = trio.current_time() - cut_s
-            assert one.node.fresh_age_s() >= since_s - 0.01
+            assert vm.node.config_age_s() >= since_s - 0.01
 
 
 @pytest.mark.promise
@@ -90,20 +90,18 @@
     needs from its peers; and a change made afterwards reaches all.
     """
     async with fleet_module.open_fleet(6) as fleet:
-        fleet.set_store(True)
+        fleet.set_store_down(True)
         for second in range(600):
             await trio.sleep(1.0)
             if second == 300:
                 fleet.kill('v4')
                 fleet.start('v9', 'b')
-                fleet.set_store(True)
+                fleet.set_store_down(True)
                 await fleet.wait(fleet_module.accepts, limit_s=10.0)
-            assert all(fleet_module.accepts(one) for one in fleet.each())
-        fleet.set_store(False)
+            assert all(fleet_module.accepts(vm) for vm in fleet.select())
+        fleet.set_store_down(False)
         fleet.write('key', 'k1', fleet_module.key(revoked=True))
-        await fleet.wait(
-            lambda one: not fleet_module.accepts(one), limit_s=10.0
-        )
+        await fleet.wait(lambda vm: not fleet_module.accepts(vm), limit_s=10.0)
 
 
 @pytest.mark.promise
@@ -115,7 +113,7 @@
     long after it gave the others up.
     """
     async with fleet_module.open_fleet(9) as fleet:
-        fleet.set_store(True)
+        fleet.set_store_down(True)
         await trio.sleep(30.0)
         away = ['v0', 'v3', 'v6']
         rest = [name for name in fleet.running if name not in away]
@@ -123,12 +121,12 @@
             [f'{name}:1' for name in away], [f'{name}:1' for name in rest]
         )
         await fleet.wait(
-            lambda one: not one.node.is_fresh(), LIMIT_S, names=away
+            lambda vm: not vm.node.is_fresh(), LIMIT_S, names=away
         )
         for _ in range(120):
             await trio.sleep(1.0)
-            assert not any(one.node.is_fresh() for one in fleet.each(away))
-            assert all(one.node.is_fresh() for one in fleet.each(rest))
+            assert not any(vm.node.is_fresh() for vm in fleet.select(away))
+            assert all(vm.node.is_fresh() for vm in fleet.select(rest))
 
 
 async def test_one_way_cut_does_not_flap(autojump_clock):
@@ -141,11 +139,11 @@
         fleet.hub.cut('v3:1', 'v0:1', one_way=True)
         for _ in range(180):
             await trio.sleep(1.0)
-            for one in fleet.each():
-                states = {(m.status, m.counter) for m in one.node.members()}
+            for vm in fleet.select():
+                states = {(m.status, m.counter) for m in vm.node.members()}
                 # A counter above 0 is a claim that had to be refuted.
                 assert states == {('live', 0)}
-                assert one.node.is_fresh()
+                assert vm.node.is_fresh()
 
 
 @pytest.mark.parametrize('pause_s', [0.0, 3.0, 60.0])
@@ -163,12 +161,12 @@
             status = {m.name: m.status for m in _members(fleet, 'v0')}
             assert status['v2'] == 'gone'
         fleet.start('v2', 'c')
-        await fleet.wait(lambda one: one.node.is_fresh())
+        await fleet.wait(lambda vm: vm.node.is_fresh())
         await trio.sleep(5.0)
         for _ in range(60):
             await trio.sleep(1.0)
-            for one in fleet.each():
-                seen = {m.name: m for m in one.node.members()}['v2']
+            for vm in fleet.select():
+                seen = {m.name: m for m in vm.node.members()}['v2']
                 assert seen.status == 'live'
                 assert seen.incarnation > former
 
@@ -186,7 +184,7 @@
     async with fleet_module.open_fleet(9) as fleet:
         for name in list(fleet.running):
             fleet.kill(name)
-        fleet.list.vms.clear()
+        fleet.vm_list.vms.clear()
         await trio.sleep(1.0)
         for index in range(9):
             fleet.start(f'w{index}', 'abc'[index % 3])
@@ -197,9 +195,9 @@
     """Two VMs give a customer its whole share each, for want of news."""
     async with fleet_module.open_fleet(6) as fleet:
         heard = {}
-        for name, one in fleet.running.items():
+        for name, vm in fleet.running.items():
             seen = heard.setdefault(name, {})
-            one.node.subscribe('load', seen.__setitem__)
+            vm.node.subscribe('load', seen.__setitem__)
         for value in range(5):
             fleet.running['v0'].node.publish('load', {'value': value})
             await trio.sleep(0.1)
@@ -208,7 +206,7 @@
         assert all(seen == {'v0': {'value': 4}} for seen in heard.values())
         sent = fleet.hub.bytes_sent
         fleet.running['v0'].node.publish('load', {'value': 4})
-        before = fleet.running['v0'].node._summaries.due()
+        before = fleet.running['v0'].node._summaries.take_due()
         assert before == [], 'an unchanged summary was sent again'
         assert fleet.hub.bytes_sent == sent
         with pytest.raises(errors.DecodeError):
@@ -280,6 +278,6 @@
                 await channel.send(link.encode(hello))
                 await channel.send(link.encode(message))
                 await trio.sleep(3.0)
-            assert all(one.node.is_fresh() for one in fleet.each())
+            assert all(vm.node.is_fresh() for vm in fleet.select())
         await trio.sleep(30.0)
-        assert all(one.node.is_fresh() for one in fleet.each())
+        assert all(vm.node.is_fresh() for vm in fleet.select())
--- a/test/peers/test_spread.py
+++ b/test/peers/test_store_watcher.py
@@ -6,7 +6,7 @@
 import trio
 
 from gentianstair.config import view as view_module
-from gentianstair.peers import spread
+from gentianstair.peers import store_watcher
 from gentianstair.store import store
 from gentianstair.util import clock
 from standins import memory_store
@@ -14,22 +14,22 @@
 from test.peers import fleet as fleet_module
 
 
-class PastStore(memory_store.MemoryStore):
+class StaleStore(memory_store.MemoryStore):
     """A store that answers, while past is set, from an old copy."""
 
     def __init__(self, table):
         super().__init__(table)
-        self.past = None
+        self.stale_table = None
 
     async def list(self, kind, *, purpose, prefix=''):
         """See Store.list."""
         await self._enter(purpose)
-        return (self.past or self.table).list(kind, prefix)
+        return (self.stale_table or self.table).list(kind, prefix)
 
     async def watch(self, kinds, after_revision, timeout_s, *, purpose):
         """See Store.watch."""
         await self._enter(purpose)
-        table = self.past or self.table
+        table = self.stale_table or self.table
         return await table.watch(kinds, after_revision, timeout_s)
 
 
@@ -71,9 +71,9 @@
         numbers = iter(range(1, 1000))
 
         def check():
-            for name, one in fleet.running.items():
-                found = one.view.bundle()
-                if not one.node.is_fresh() or found is None:
+            for name, vm in fleet.running.items():
+                found = vm.view.bundle()
+                if not vm.node.is_fresh() or found is None:
                     continue
                 assert found['note'] == f'content {found["number"]}'
                 assert found['number'] >= served.get(name, 0)
@@ -90,7 +90,7 @@
                 other = rng.choice(sorted(set(fleet.running) - {name}))
                 fleet.hub.cut(f'{name}:1', f'{other}:1', rng.random() < 0.5)
             elif act == 'store':
-                fleet.set_store(rng.random() < 0.5, [name])
+                fleet.set_store_down(rng.random() < 0.5, [name])
             elif act == 'accept':
                 accept(fleet, next(numbers))
             else:
@@ -99,21 +99,21 @@
                 await trio.sleep(0.1)
                 check()
         fleet.hub.heal()
-        fleet.set_store(False)
+        fleet.set_store_down(False)
         revision = accept(fleet, next(numbers))
         newest = next(numbers) - 1
         await fleet.wait(
-            lambda one: (
-                one.node.is_fresh() and one.view.bundle()['number'] == newest
+            lambda vm: (
+                vm.node.is_fresh() and vm.view.bundle()['number'] == newest
             )
         )
-        assert all(one.view.revision == revision for one in fleet.each())
+        assert all(vm.view.revision == revision for vm in fleet.select())
 
 
 def make_watcher(table):
     view = view_module.View()
-    past = PastStore(table)
-    watcher = spread.Watcher(
+    past = StaleStore(table)
+    watcher = store_watcher.Watcher(
         view, past, clock.trio_time_s, 2.0, random.Random(1)
     )
     return view, past, watcher
@@ -130,12 +130,12 @@
     first = table.write('key', 'k1', fleet_module.key(), 0)
     view, past, watcher = make_watcher(table)
     assert (await watcher.step())[1] is not None
-    past.past = copy_table(table)
+    past.stale_table = copy_table(table)
     table.write('key', 'k1', fleet_module.key(revoked=True), first)
-    past.past, old = None, past.past
+    past.stale_table, old = None, past.stale_table
     await watcher.step()
     assert view.key('k1')['revoked']
-    past.past = old
+    past.stale_table = old
     for restarted in (False, True):
         if restarted:
             watcher._cursor = None
--- a/test/peers/test_topology.py
+++ b/test/peers/test_topology.py
@@ -16,7 +16,7 @@
 
 def dials(domains):
     return {
-        name: topology.place(name, domains, WATCHERS, FANOUT).dial
+        name: topology.find_position(name, domains, WATCHERS, FANOUT).dial
         for name in domains
     }
 
@@ -55,9 +55,9 @@
 
 def test_unreachable_parent_is_passed_over():
     domains = make_domains(40, 1)
-    place = topology.place('vm-9', domains, WATCHERS, FANOUT)
-    assert place.level > 0
-    lost = place.dial[0]
-    other = topology.place('vm-9', domains, WATCHERS, FANOUT, {lost})
+    position = topology.find_position('vm-9', domains, WATCHERS, FANOUT)
+    assert position.level > 0
+    lost = position.dial[0]
+    other = topology.find_position('vm-9', domains, WATCHERS, FANOUT, {lost})
     assert lost not in other.dial
-    assert len(other.dial) == len(place.dial)
+    assert len(other.dial) == len(position.dial)
