--- a/gentianstair/peers/__init__.py
+++ b/gentianstair/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Join the processes of the fleet to one another."""
+"""Link the VMs of the fleet: membership, configuration, summaries."""
--- a/gentianstair/peers/link.py
+++ b/gentianstair/peers/link.py
@@ -20,12 +20,13 @@
 
 PROTOCOL_VERSION = 1
 MAX_MESSAGE_BYTES = 2 * 1024 * 1024
+# Limit on nested maps and lists in a message.
 MAX_NESTING_DEPTH = 12
 OPEN_TIMEOUT_S = 3.0
 CLOSE_TIMEOUT_S = 0.5
-# Longest time that sent bytes may stay undelivered.
+# Longest time that sent bytes may stay unacknowledged.
 DELIVERY_TIMEOUT_MS = 3000
-# Frames that wait to be read before the sender is held back.
+# Frames that may wait to be read before the sender is throttled.
 MAX_RECEIVE_QUEUE_FRAMES = 16
 
 MESSAGE_TYPES: dict[str, type] = {
@@ -60,11 +61,11 @@
 
 
 class LinkClosedError(errors.GentianstairError):
-    """Report that a link is closed or broke; what was sent may be lost."""
+    """Report that a link closed or broke; messages sent may be lost."""
 
 
 def encode(message: Message) -> bytes:
-    """Return the bytes of a message; its version is filled in."""
+    """Return the bytes of a message, with the protocol version added."""
     data = cbor2.dumps({'version': PROTOCOL_VERSION, **message})
     MESSAGE_BYTES.labels('out', message['type']).inc(len(data))
     return data
@@ -73,11 +74,12 @@
 def decode(data: bytes) -> Message | None:
     """Return the message in data, or None for a type not known here.
 
-    A field that the schema does not have is left out, so that a newer peer
-    can be read during a rollout. Raise DecodeError for all else.
+    Fields that the schema does not have are ignored, so that messages of a
+    newer version can be read during a rollout. Raise DecodeError for any
+    other invalid message.
     """
     if len(data) > MAX_MESSAGE_BYTES:
-        raise errors.DecodeError(f'{len(data)} bytes are too many')
+        raise errors.DecodeError(f'message of {len(data)} bytes is too large')
     try:
         raw = cbor2.loads(
             data, max_depth=MAX_NESTING_DEPTH, allow_indefinite=False
@@ -86,7 +88,7 @@
     except (cbor2.CBORDecodeError, KeyError, ValueError) as error:
         raise errors.DecodeError(str(error)) from error
     if not isinstance(name, str):
-        raise errors.DecodeError('a message must be a map with a type')
+        raise errors.DecodeError('message is not a map with a type')
     if name not in MESSAGE_TYPES:
         DROPPED_MESSAGES.labels('unknown type').inc()
         return None
@@ -99,7 +101,7 @@
 
 
 class Channel(abc.ABC):
-    """Both ends of a connection that keeps order until it breaks."""
+    """One end of a connection that delivers messages in order."""
 
     @abc.abstractmethod
     async def send(self, data: bytes) -> None:
@@ -107,24 +109,27 @@
 
     @abc.abstractmethod
     async def receive(self) -> bytes:
-        """Return the next message; raise LinkClosedError at the end."""
+        """Return the next message; raise LinkClosedError when closed."""
 
     @abc.abstractmethod
     async def aclose(self) -> None:
-        """Close without waiting for the other end for long."""
+        """Close, waiting only briefly for the other end."""
 
 
 ChannelHandler = typing.Callable[[Channel], typing.Awaitable[None]]
 
 
 class Network(abc.ABC):
-    """What opens and accepts channels; tests put one in memory."""
+    """Open and accept channels; tests use one in memory."""
 
     @abc.abstractmethod
     def open(
         self, address: str
     ) -> contextlib.AbstractAsyncContextManager[Channel]:
-        """Return a context with a channel; raise LinkClosedError."""
+        """Return a context manager for a channel to address.
+
+        Raise LinkClosedError when the address cannot be reached.
+        """
 
     @abc.abstractmethod
     async def serve(
@@ -132,7 +137,10 @@
         handler: ChannelHandler,
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Run handler for each incoming channel; report the address."""
+        """Run handler for each incoming channel.
+
+        Report the listening address through task_status.
+        """
 
 
 class WebsocketChannel(Channel):
@@ -162,12 +170,11 @@
 
 
 def _limit_delivery_time(connection: typing.Any) -> None:
-    """Have the kernel break a link whose bytes are not taken in time.
+    """Have the kernel break a link whose bytes are not acknowledged.
 
-    Behind a cut nothing comes back, and without a bound the kernel would
-    go on for minutes while both ends think that the link stands. Raise
-    LinkClosedError: a peer may close as soon as it has accepted, and the
-    socket is then gone before it is bounded.
+    Without this limit the kernel would retransmit for minutes during a
+    partition. Raise LinkClosedError when the socket is gone, as when the
+    peer closes right after it accepted.
     """
     stream = connection.stream
     if not isinstance(stream, trio.SocketStream):
@@ -177,7 +184,9 @@
             socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, DELIVERY_TIMEOUT_MS
         )
     except OSError as error:
-        raise LinkClosedError(f'closed at once: {error}') from error
+        raise LinkClosedError(
+            f'connection closed before use: {error}'
+        ) from error
 
 
 class WebsocketNetwork(Network):
@@ -210,7 +219,7 @@
         except (
             OSError,
             TimeoutError,
-            # An address that is none, from a peer or the list of VMs.
+            # Malformed address, from a peer or the list of VMs.
             ValueError,
             trio.TooSlowError,
             trio.BrokenResourceError,
@@ -256,8 +265,8 @@
 def make_network(settings: typing.Any) -> WebsocketNetwork:
     """Return the network that the settings describe.
 
-    Raise SettingsError when links would be plain beyond loopback without
-    insecure_plain, or when the TLS files do not load.
+    Raise SettingsError when links would be unencrypted beyond loopback
+    without insecure_plain, or when the TLS files do not load.
     """
     files = tls.Files(
         settings.peer_tls_cert_file,
--- a/test/peers/__init__.py
+++ b/test/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Test the links, membership and spread between nodes."""
+"""Test links, membership and configuration between nodes."""
--- a/test/peers/test_link.py
+++ b/test/peers/test_link.py
@@ -1,4 +1,4 @@
-"""Test what a link lets through, and links on real sockets."""
+"""Test message decoding, and links on real sockets."""
 
 import errno
 
@@ -36,7 +36,7 @@
 
 
 def test_unknown_field_is_ignored_and_unknown_type_is_dropped():
-    """A rollout runs two versions at a time; neither may break the other."""
+    """Two versions that run together in a rollout break each other."""
     newer = link.encode({**BEAT, 'mood': 'good'})
     assert link.decode(newer) == {'version': 1, **BEAT}
     assert link.decode(link.encode({**BEAT, 'type': 'song'})) is None
@@ -56,7 +56,7 @@
         b'x' * (link.MAX_MESSAGE_BYTES + 1),
     ],
 )
-def test_bad_bytes_are_refused(data):
+def test_invalid_messages_are_refused(data):
     with pytest.raises(errors.DecodeError):
         link.decode(data)
 
@@ -70,7 +70,7 @@
         ({'peer_tls_cert_file': '/nonexistent'}, False),
     ],
 )
-def test_plain_links_only_on_loopback_or_when_asked(given, allowed):
+def test_plain_links_need_loopback_or_insecure_plain(given, allowed):
     if allowed:
         link.make_network(make_settings(**given))
         return
@@ -96,7 +96,7 @@
     return answer
 
 
-async def test_websocket_round_trip_and_refusal():
+async def test_websocket_delivers_and_refused_connection_closes_link():
     network = link.make_network(make_settings())
     assert await exchange(network, network) == b'hello'
     with pytest.raises(link.LinkClosedError):
@@ -117,8 +117,8 @@
     )
 
 
-async def test_strangers_get_no_link(tmp_path):
-    """A stranger on the network takes part as if it were one of our VMs."""
+async def test_certificate_of_another_authority_is_refused(tmp_path):
+    """A process with another authority's certificate joins the fleet."""
     ours = test_tls.Authority(tmp_path, 'ours')
     others = test_tls.Authority(tmp_path, 'others')
     server = make_tls_network(tmp_path, ours, 'server')
@@ -189,7 +189,7 @@
 @pytest.mark.parametrize(
     'address', ['', 'nowhere', 'a:b', '127.0.0.1:99999999', '::::', 'x y:1']
 )
-async def test_address_that_is_none_is_a_closed_link(address):
+async def test_malformed_address_raises_link_closed(address):
     network = link.make_network(make_settings())
     with pytest.raises(link.LinkClosedError):
         with trio.fail_after(10.0):
@@ -197,14 +197,13 @@
                 pass
 
 
-async def test_a_link_that_is_closed_at_once_is_a_closed_link(monkeypatch):
-    """A peer accepts a link and is killed at that moment.
+async def test_socket_closed_on_connect_raises_link_closed(monkeypatch):
+    """A peer killed right after it accepted a link ends this process.
 
-    The socket is gone before its delivery is bounded. The error of the
-    system call ended the whole process and cut all its callers' requests.
+    The socket is gone when its delivery timeout is set.
     """
 
-    def gone(*_):
+    def raise_bad_descriptor(*_):
         raise OSError(errno.EBADF, 'Bad file descriptor')
 
     network = link.WebsocketNetwork('127.0.0.1:0', None)
@@ -214,8 +213,12 @@
 
     async with trio.open_nursery() as nursery:
         address = await nursery.start(network.serve, handler)
-        monkeypatch.setattr(trio.SocketStream, 'setsockopt', gone)
-        with pytest.raises(errors.GentianstairError, match='closed at once'):
+        monkeypatch.setattr(
+            trio.SocketStream, 'setsockopt', raise_bad_descriptor
+        )
+        with pytest.raises(
+            errors.GentianstairError, match='connection closed before use'
+        ):
             async with network.open(address):
                 pass
         nursery.cancel_scope.cancel()
--- a/test/peers/test_link_tls.py
+++ b/test/peers/test_link_tls.py
@@ -18,24 +18,24 @@
     return link.make_network(test_link.make_settings(**given))
 
 
-async def test_links_take_peers_and_refuse_others(tmp_path):
-    """A process outside the fleet feeds a VM configuration of its own.
+async def test_peers_without_the_fleets_authority_are_refused(tmp_path):
+    """A process outside the fleet sends a VM its own configuration.
 
-    It speaks the peers' protocol, but has no certificate of the fleet's
-    authority. Neither side takes the other.
+    Without a certificate of the fleet's authority, it must be refused both
+    as a server and as a client.
     """
     authority = test_tls.Authority(tmp_path)
-    mine = _network(authority, tmp_path / 'vm-1')
-    other = _network(authority, tmp_path / 'vm-2')
-    assert await test_link.exchange(mine, other) == b'hello'
+    ours = _network(authority, tmp_path / 'vm-1')
+    second = _network(authority, tmp_path / 'vm-2')
+    assert await test_link.exchange(ours, second) == b'hello'
     strangers = test_tls.Authority(tmp_path, 'other')
     stranger = _network(strangers, tmp_path / 'vm-x')
     plain = link.make_network(test_link.make_settings())
     for server, client in [
-        (mine, stranger),
-        (stranger, mine),
-        (mine, plain),
-        (plain, mine),
+        (ours, stranger),
+        (stranger, ours),
+        (ours, plain),
+        (plain, ours),
     ]:
         with pytest.RaisesGroup(link.LinkClosedError):
             await test_link.exchange(server, client)
