--- a/gentianstair/peers/freshness.py
+++ b/gentianstair/peers/freshness.py
@@ -1,4 +1,4 @@
-"""Say whether a node may trust that no key was revoked behind its back."""
+"""Decide whether a node's configuration is recent enough to serve."""
 
 import typing
 
@@ -6,11 +6,11 @@
 
 
 class Freshness:
-    """The age of the node's news, and what still counts without a store.
+    """How recent the node's view is, and how many VMs it last reached.
 
     ``as_of_s`` is the latest time, on this node's clock, at which its view
-    is known to have been the store's. ``reached_at_s`` is when a count of
-    VMs within reach was true, ``reached`` that count.
+    is known to have matched the store. ``reached`` is the number of VMs
+    that the newest survey reached, taken at ``reached_at_s``.
     """
 
     def __init__(
@@ -25,19 +25,19 @@
         self.as_of_s: float | None = None
         self.reached = 0
         self.reached_at_s: float | None = None
-        # Set by peers that go on by majority, for a VM that came during the
-        # outage and never had news of its own from the store.
+        # Like as_of_s, but of a peer's view and however old: lets a VM that
+        # started during an outage of the store serve with the majority.
         self.peer_as_of_s: float | None = None
 
     def record_store_view(self, as_of_s: float) -> bool:
-        """Record that the view was current at as_of_s; say if that helps."""
+        """Record that the view matched the store; say if as_of_s is newer."""
         if self.as_of_s is not None and as_of_s <= self.as_of_s:
             return False
         self.as_of_s = as_of_s
         return True
 
     def record_reached(self, reached: int, at_s: float) -> bool:
-        """Record how many VMs were reached at at_s; say if it is news."""
+        """Record how many VMs a survey reached; say if at_s is newer."""
         if self.reached_at_s is not None and at_s <= self.reached_at_s:
             return False
         self.reached = reached
@@ -45,24 +45,24 @@
         return True
 
     def record_peer_view(self, as_of_s: float) -> None:
-        """Record a peer's last news from the store, however old."""
+        """Record when a peer's view last matched the store."""
         if self.peer_as_of_s is None or as_of_s > self.peer_as_of_s:
             self.peer_as_of_s = as_of_s
 
     def age_s(self) -> float | None:
-        """Return the age of the news from the store, if there were any."""
+        """Return the time since the view last matched the store."""
         if self.as_of_s is None:
             return None
         return max(0.0, self._clock() - self.as_of_s)
 
     def reached_age_s(self) -> float | None:
-        """Return the age of the count of VMs within reach."""
+        """Return the age of the newest survey's count."""
         if self.reached_at_s is None:
             return None
         return max(0.0, self._clock() - self.reached_at_s)
 
     def store_silence_s(self) -> float | None:
-        """Return how long the store has been silent for this node's view."""
+        """Return the time since this view or a peer's matched the store."""
         times_s = [
             t for t in (self.as_of_s, self.peer_as_of_s) if t is not None
         ]
@@ -71,16 +71,16 @@
         return max(0.0, self._clock() - max(times_s))
 
     def has_recent_view(self) -> bool:
-        """Say whether the news from the store are recent enough."""
+        """Say whether the view matched the store within freshness_s."""
         age_s = self.age_s()
         return age_s is not None and age_s <= self._freshness_s
 
     def has_majority(self, voters: int) -> bool:
-        """Say whether most of the known VMs were reached just now.
+        """Say whether a recent survey reached a majority of the voters.
 
-        A key may have been revoked on the far side of a partition. A
-        minority cannot tell and refuses; a majority goes on, since with
-        the store down for all no key can have been revoked at all.
+        A minority refuses, since a key may have been revoked on the other
+        side of a partition. A majority goes on without the store for up to
+        outage_limit_s.
         """
         age_s = self.reached_age_s()
         silence_s = self.store_silence_s()
@@ -93,17 +93,17 @@
         )
 
     def is_fresh(self, voters: int) -> bool:
-        """Say whether callers may be served; known VMs in number."""
+        """Say whether callers may be served, given the number of voters."""
         return self.has_recent_view() or self.has_majority(voters)
 
 
 class SendTime(typing.NamedTuple):
-    """When, on our clock, a peer told us something, at the earliest.
+    """Lower bound, on our clock, of the time at which a peer sent.
 
-    A beat can lie in a socket through a partition, or in a buffer while
-    this VM is paused, and then look new. The peer therefore echoes our own
-    last stamp and how long it held it: the beat was sent after echo_s plus
-    held_s on our clock, whatever time the way took.
+    A heartbeat can wait in a socket or buffer during a partition or a pause
+    of this VM and then look new. So the peer echoes our last timestamp and
+    how long it held it: it sent after the sum of the two, however long the
+    delivery took.
     """
 
     sent_after_s: float
@@ -112,7 +112,7 @@
 def earliest_send_time(
     echo_ms: int | None, held_ms: int | None
 ) -> SendTime | None:
-    """Return the earliest time of sending, or None without an echo.
+    """Return when a heartbeat was sent at the earliest; None without echo.
 
     >>> earliest_send_time(5000, 250)
     SendTime(sent_after_s=5.25)
--- a/gentianstair/peers/outgoing_messages.py
+++ b/gentianstair/peers/outgoing_messages.py
@@ -1,4 +1,4 @@
-"""Make the messages that a node sends to its peers."""
+"""Build the messages that a node sends to its peers."""
 
 import typing
 
@@ -9,7 +9,7 @@
 
 
 def make_hello(view: views.View, members: membership.Members) -> link.Message:
-    """Return the first message on a link: who this is, and what it has."""
+    """Return the first message on a link: this VM and its digests."""
     return {
         'type': 'hello',
         'member': membership.to_message(members.own),
@@ -26,9 +26,9 @@
     freshness_s: float,
     members_digest: int | None,
 ) -> link.Message:
-    """Return a heartbeat; news older than freshness_s are left out.
+    """Return a heartbeat, without ages that exceed freshness_s.
 
-    members_digest is None in most beats, as members seldom change.
+    members_digest is None in most heartbeats, as members seldom change.
     """
     found: link.Message = {
         'type': 'beat',
@@ -52,7 +52,7 @@
 
 
 def make_members(found: typing.Iterable[membership.Member]) -> link.Message:
-    """Return what is known of some members."""
+    """Return a message with members."""
     return {
         'type': 'members',
         'members': [membership.to_message(member) for member in found],
@@ -60,6 +60,6 @@
 
 
 def make_listed(found: dict[str, membership.ListedState]) -> link.Message:
-    """Return what the platform's list says of VMs."""
+    """Return a message with entries of the platform's list of VMs."""
     states = {name: entry._asdict() for name, entry in found.items()}
     return {'type': 'listed', 'states': states}
--- a/gentianstair/peers/session.py
+++ b/gentianstair/peers/session.py
@@ -1,4 +1,4 @@
-"""Hold one established link: what waits to be sent, and what was heard."""
+"""Queue outgoing messages of one link and track the state of its peer."""
 
 import collections
 import typing
@@ -11,18 +11,18 @@
 from gentianstair.peers import membership
 from gentianstair.store import store
 
-# Objects in one message; a slow peer gets newer beats between two.
+# Longer batches of objects are split into several messages.
 MAX_OBJECTS_PER_MESSAGE = 200
-# Messages other than objects that may wait for a slow peer.
+# Queued messages, objects aside, at which a link to a slow peer is closed.
 MAX_QUEUED_MESSAGES = 5000
 
 
 class Session:
     """One link to one peer, from its hello on.
 
-    ``synced`` says that all the peer holds was sent to us on this link: its
-    answer to our hello has ended, and what it learns it sends in order
-    before its next beat. Only then do its beats say anything of our view.
+    ``synced`` is set once the peer has answered our hello with all objects
+    that we lacked. As it sends later objects ahead of its heartbeats, its
+    heartbeats then also tell how recent our own view is.
     """
 
     def __init__(
@@ -38,11 +38,11 @@
         self.last_received_s = now_s
         self.synced = False
         self.scope = trio.CancelScope()
-        # When the last beat was sent, and how recent the peer's news are
-        # at the least, by what it told us and what we told it.
+        # When the last heartbeat was sent, and the latest time at which the
+        # peer's view is known to have matched the store.
         self.heartbeat_sent_s = now_s
         self.peer_as_of_s = 0.0
-        # When the newest count of VMs that both ends know of was made.
+        # Time of the newest survey count that both ends know.
         self.peer_reached_at_s = 0.0
         self.peer_digest = 0
         self.differing_since_s: float | None = None
@@ -58,7 +58,10 @@
     def queue_objects(
         self, objects: typing.Iterable[store.StoredObject], final: bool = False
     ) -> None:
-        """Queue objects; a newer version replaces one that still waits."""
+        """Queue objects; a newer version replaces a queued one.
+
+        ``final`` ends the answer to a hello or to a repair request.
+        """
         for item in objects:
             self._objects.pop((item.kind, item.name), None)
             self._objects[(item.kind, item.name)] = item
@@ -68,20 +71,20 @@
     def queue(self, message: link.Message) -> None:
         """Queue any other message."""
         if len(self._messages) >= MAX_QUEUED_MESSAGES:
-            # The peer shows life but does not read, and what waits for it
-            # would grow for as long as it does. A new link starts clean.
+            # The peer sends but does not read, and the queue would grow
+            # without bound.
             self.scope.cancel()
             return
         self._messages.append(message)
         self._wake.set()
 
     def request_heartbeat(self) -> None:
-        """Send a beat once all that waits is out."""
+        """Send a heartbeat after all queued messages."""
         self._heartbeat_due = True
         self._wake.set()
 
     def drop_queued(self, item: store.StoredObject) -> None:
-        """Note that the peer sent this object, so it need not be sent."""
+        """Drop an object from the queue that the peer itself has sent."""
         waiting = self._objects.get((item.kind, item.name))
         if waiting is not None and waiting.version <= item.version:
             del self._objects[(item.kind, item.name)]
@@ -89,7 +92,7 @@
     def record_heartbeat(
         self, heartbeat: messages.PeerBeat, now_s: float
     ) -> freshness.SendTime | None:
-        """Note the peer's stamp; return when the beat was sent."""
+        """Keep the peer's timestamp to echo; return when it was sent."""
         self._last_stamp = (heartbeat['sent_ms'], now_s)
         return freshness.earliest_send_time(
             heartbeat.get('echo_ms'), heartbeat.get('held_ms')
@@ -100,7 +103,7 @@
         heartbeat: messages.PeerBeat,
         send_time: freshness.SendTime | None,
     ) -> None:
-        """Note how recent the peer's own news are."""
+        """Record when the peer's view last matched the store."""
         if send_time is not None and 'age_ms' in heartbeat:
             as_of_s = send_time.sent_after_s - heartbeat['age_ms'] / 1000
             self.peer_as_of_s = max(self.peer_as_of_s, as_of_s)
@@ -109,7 +112,7 @@
         if self._last_stamp is None:
             return {}
         sent_ms, received_s = self._last_stamp
-        # Rounded down, so that the peer never takes us for fresher.
+        # Rounded down, so that the peer never overrates our freshness.
         return {
             'echo_ms': sent_ms,
             'held_ms': int((now_s - received_s) * 1000),
@@ -122,8 +125,8 @@
     ) -> None:
         """Send what is queued until cancelled.
 
-        Objects go first and a beat goes last, made when nothing else waits:
-        a beat vouches for the peer having all that is in our view.
+        Objects go first. A heartbeat is built only when the queue is empty,
+        since it tells the peer that it now has all objects of our view.
         """
         while True:
             await self._wake.wait()
--- a/test/peers/test_freshness.py
+++ b/test/peers/test_freshness.py
@@ -1,4 +1,4 @@
-"""Test the rule that decides whether a VM may serve."""
+"""Test when a VM's configuration is recent enough to serve."""
 
 import pytest
 
@@ -9,13 +9,13 @@
 
 @pytest.mark.promise
 @pytest.mark.parametrize(
-    'news_s, outage_s, count_s, reached, known, fresh',
+    'as_of_s, peer_as_of_s, reached_at_s, reached, voters, fresh',
     [
-        # News from the store, with and without a count.
+        # The view matched the store within 6 s, longer ago, or never.
         (94.5, None, None, 0, 8, True),
         (93.9, None, None, 0, 8, False),
         (None, None, None, 0, 8, False),
-        # The store is silent; a majority, just half, a minority.
+        # The store is silent; majority, half, minority, a single VM.
         (50.0, None, 98.0, 5, 8, True),
         (50.0, None, 98.0, 4, 8, False),
         (50.0, None, 98.0, 1, 8, False),
@@ -23,30 +23,32 @@
         # The count is too old, or the outage too long.
         (50.0, None, 93.0, 8, 8, False),
         (39.0, None, 98.0, 8, 8, False),
-        # A VM that came during the outage: peers vouch for its view, or
-        # nobody does.
+        # A VM that started during the outage, with a peer's view that
+        # matched the store, without one, or with one too old.
         (None, 50.0, 98.0, 5, 8, True),
         (None, None, 98.0, 8, 8, False),
         (None, 39.0, 98.0, 8, 8, False),
     ],
 )
-def test_rule(news_s, outage_s, count_s, reached, known, fresh):
-    """A key is revoked on one side of a partition and works on the other.
+def test_stale_minority_is_not_fresh(
+    as_of_s, peer_as_of_s, reached_at_s, reached, voters, fresh
+):
+    """A key revoked on one side of a partition works on the other.
 
-    Only news of the last 6 s, or a majority counted in the last 6 s during
-    an outage of at most 60 s, let a VM serve.
+    A VM may serve only if its view matched the store within 6 s, or if it
+    reached a majority within 6 s in an outage of at most 60 s.
     """
     freshness_state = freshness.Freshness(lambda: NOW_S, 6.0, 60.0)
-    if news_s is not None:
-        freshness_state.record_store_view(news_s)
-    if outage_s is not None:
-        freshness_state.record_peer_view(outage_s)
-    if count_s is not None:
-        freshness_state.record_reached(reached, count_s)
-    assert freshness_state.is_fresh(known) is fresh
+    if as_of_s is not None:
+        freshness_state.record_store_view(as_of_s)
+    if peer_as_of_s is not None:
+        freshness_state.record_peer_view(peer_as_of_s)
+    if reached_at_s is not None:
+        freshness_state.record_reached(reached, reached_at_s)
+    assert freshness_state.is_fresh(voters) is fresh
 
 
-def test_older_news_change_nothing():
+def test_older_records_do_not_replace_newer_ones():
     freshness_state = freshness.Freshness(lambda: NOW_S, 6.0, 60.0)
     assert freshness_state.record_store_view(99.0)
     assert not freshness_state.record_store_view(98.0)
