--- a/gentianstair/peers/broadcaster.py
+++ b/gentianstair/peers/broadcaster.py
@@ -1,4 +1,4 @@
-"""Tell linked peers what is new of members, the list of VMs and objects."""
+"""Forward changes of members, the list of VMs and objects to peers."""
 
 import collections.abc
 import typing
@@ -23,7 +23,7 @@
 
 
 class Broadcaster:
-    """Passes on what a node learns, never back to whom it came from."""
+    """Forwards changes on all links but the one they came from."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
     def sync_peer(
         self, session: session_module.Session, hello: messages.PeerHello
     ) -> None:
-        """Send a new link all that its hello shows to be missing."""
+        """Send a new peer all that its hello shows to be missing."""
         self.broadcast_members(
             self._members.apply([session.peer], self._clock()), session
         )
@@ -79,7 +79,7 @@
         changes: list[membership.Member],
         exclude: session_module.Session | None = None,
     ) -> None:
-        """Pass on what changed of members."""
+        """Forward changed members."""
         if not changes:
             return
         self._on_members_changed()
@@ -87,7 +87,7 @@
             if member.status == membership.LIVE:
                 continue
             log = loguru.logger.bind(vm=member.name, status=member.status)
-            log.info('a VM changed its status')
+            log.info('VM status changed')
             if member.status == membership.GONE:
                 self._summaries.forget_origins({member.name})
         self.broadcast(outgoing_messages.make_members(changes), exclude)
@@ -97,7 +97,7 @@
         found: dict[str, membership.ListedState],
         exclude: session_module.Session | None,
     ) -> None:
-        """Take what the platform's list says, and pass on what is new."""
+        """Apply entries of the platform's list and forward what changed."""
         now_s = self._clock()
         applied, changed = self._members.apply_vm_list(found, now_s)
         if applied:
@@ -109,7 +109,7 @@
         applied: typing.Sequence[store_module.StoredObject],
         exclude: session_module.Session | None,
     ) -> None:
-        """Pass on changed objects."""
+        """Forward changed objects."""
         if not applied:
             return
         for session in self._sessions():
@@ -119,7 +119,7 @@
     def repair_members(
         self, session: session_module.Session, heartbeat: messages.PeerBeat
     ) -> None:
-        """Send all members to a peer that stays different from this node."""
+        """Send all members to a peer whose digest differs twice in a row."""
         peer_digest = heartbeat.get('members_digest')
         if peer_digest is None:
             return
--- a/gentianstair/peers/indirect_probe.py
+++ b/gentianstair/peers/indirect_probe.py
@@ -1,9 +1,9 @@
-"""Find out whether a VM that is silent here is silent to all.
+"""Probe a silent VM through other peers before suspecting it.
 
-A cut between two VMs, one way or both, shows here as silence. Were that
-enough to suspect, the VM would refute it by way of others, and its status
-would flap for as long as the cut lasts. So a few others are asked first, and
-one that reaches the VM ends the matter.
+When only the path between two VMs is cut, the silent VM would refute each
+suspicion through others, and its status would flap for as long as the cut
+lasts. So a few peers are asked first; the VM is suspected only when none of
+them reaches it.
 """
 
 import collections.abc
@@ -19,21 +19,21 @@
 from gentianstair.peers import session as session_module
 from gentianstair.util import clock as clocks
 
-# Other nodes that are asked whether they reach a silent VM.
+# Peers that are asked in each round whether they reach a silent VM.
 PROBE_HELPERS = 3
-# Heartbeats of silence up to which a peer counts as heard.
+# Silence, in heartbeat intervals, up to which a peer counts as reachable.
 RECENT_HEARTBEATS = 2.5
 
 
 class Timing(typing.NamedTuple):
-    """How often peers speak, and after what silence one is suspected."""
+    """Heartbeat interval and the time a probe may take."""
 
     heartbeat_s: float
     suspect_s: float
 
 
 class IndirectProber:
-    """Ask peers about silent VMs, and answer what peers ask."""
+    """Ask peers about silent VMs, and answer their probes."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         )
 
     async def probe(self, name: str) -> None:
-        """Ask about a VM; suspect it unless somebody reaches it."""
+        """Ask peers about a VM; report it unless one of them reaches it."""
         member = self._members.by_name.get(name)
         if member is None or name in self._probing:
             return
@@ -86,14 +86,14 @@
         return self._rng.sample(sessions, min(count, len(sessions)))
 
     def handle_answer(self, message: messages.PeerProbe) -> None:
-        """Take what a peer says of a VM that it was asked about."""
+        """End the probe of a VM that a peer reaches."""
         if message['heard']:
             self._probing.discard(message['name'])
 
     async def answer_probe(
         self, requester: session_module.Session, name: str
     ) -> None:
-        """Tell a peer whether this node reaches a VM, trying it if need be."""
+        """Tell a peer whether this node reaches a VM; dial it if needed."""
         recent_s = RECENT_HEARTBEATS * self._timing.heartbeat_s
         recently_heard = any(
             session.peer.name == name
@@ -108,7 +108,7 @@
         )
 
     async def _can_reach(self, member: membership.Member) -> bool:
-        """Try whether a VM answers with a hello as the same incarnation."""
+        """Dial a VM and say whether it answers with a hello in its name."""
         with trio.move_on_after(self._timing.suspect_s / 2):
             try:
                 async with self._network.open(member.address) as channel:
--- a/gentianstair/peers/membership.py
+++ b/gentianstair/peers/membership.py
@@ -1,4 +1,4 @@
-"""Keep what is known of the fleet's VMs and their incarnations."""
+"""Track the fleet's VMs, their status and their incarnations."""
 
 import typing
 
@@ -11,17 +11,18 @@
 SUSPECT = 'suspect'
 LEAVING = 'leaving'
 GONE = 'gone'
-# State of a VM that was on the platform's list and no longer is.
+# State of a VM that is no longer on the platform's list.
 ABSENT = 'absent'
-# How long a VM that is gone is remembered, so that no late claim of a slow
-# peer brings it back.
+# How long a gone VM is remembered, so that a late claim of a slow peer does
+# not bring it back.
 FORGET_GONE_AFTER_S = 3600.0
-# A process this young takes a greater incarnation of its name for that of
-# its predecessor, whose wall clock was ahead.
+# Within this time after its first conflict, a process takes a greater
+# incarnation under its name for that of its predecessor, whose wall clock was
+# ahead.
 PREDECESSOR_WINDOW_S = 10.0
 
-# Order of claims about one incarnation at one counter: the later ones win,
-# and only the VM itself can overrule them, by a greater counter.
+# Precedence of claims with equal incarnation and counter: the greater wins.
+# Only the VM itself overrules a claim, by raising its counter.
 _STATUS_PRECEDENCE = {LIVE: 0, SUSPECT: 1, LEAVING: 2, GONE: 3}
 
 MEMBER_COUNT = prometheus_client.Gauge(
@@ -30,10 +31,12 @@
 
 
 class Member(typing.NamedTuple):
-    """One VM as known here; ``address`` is for links.
+    """What is known of one VM; peers dial it at ``address``.
 
     ``incarnation`` is the wall clock, in microseconds, at the start of its
-    process: a VM that returns with the same name or address is a new one.
+    process, or 0 if only the platform's list named the VM. It tells a
+    restarted VM from its predecessor of the same name. ``counter`` is raised
+    by the VM itself to refute claims about its status.
     """
 
     name: str
@@ -46,12 +49,12 @@
 
 
 def to_message(member: Member) -> messages.PeerMember:
-    """Return the member as a message carries it."""
+    """Return the member as a message field."""
     return typing.cast(messages.PeerMember, member._asdict())
 
 
 def from_message(found: messages.PeerMember) -> Member:
-    """Return the member a message carries."""
+    """Return the member from a message field."""
     return Member(**found)
 
 
@@ -61,7 +64,7 @@
 
 
 class ListedState(typing.NamedTuple):
-    """What the platform's list says of a VM, read at a wall-clock time."""
+    """State of a VM on the platform's list, read at wall clock at_ms."""
 
     state: str
     at_ms: int
@@ -70,10 +73,9 @@
 class Members:
     """All VMs known to one node.
 
-    ``listed`` is the platform's list, which lags: it says where VMs are and
-    which of them leave, and it alone takes a silent VM off the count that a
-    majority is measured by. Otherwise each side of a partition would drop
-    the other side and find itself a majority of the rest.
+    ``listed`` holds the platform's list, which may lag. Only this list
+    removes a silent VM from the voters: otherwise each side of a partition
+    would drop the other side and become a majority of what is left.
     """
 
     def __init__(self, own: Member) -> None:
@@ -83,8 +85,8 @@
         self.suspect_since_s: dict[str, float] = {}
         self._gone_since_s: dict[str, float] = {}
         self._first_claim_s: float | None = None
-        # Raised at each change, so that what is worked out from thousands
-        # of members is worked out once for each change and not each time.
+        # Raised at each change; results computed from all members are cached
+        # by it.
         self.generation = 0
         self._digest = (-1, 0)
 
@@ -101,10 +103,10 @@
     def apply(
         self, found: typing.Iterable[Member], now_s: float
     ) -> list[Member]:
-        """Take newer records; return those that others should hear of.
+        """Apply newer records; return those to pass on to peers.
 
-        A claim about this very node, for example by a peer that could not
-        reach it, is answered by a greater counter.
+        A claim about this node itself, for example by a peer that could not
+        reach it, is refuted with a greater counter.
         """
         taken = []
         for member in found:
@@ -125,8 +127,8 @@
             self._first_claim_s = now_s
         if claim.incarnation > own.incarnation:
             if now_s - self._first_claim_s > PREDECESSOR_WINDOW_S:
-                # A later process has this name. It is the VM now; this one
-                # is a remnant that must not fight over the name.
+                # A later process has this name; this one must not compete
+                # with it.
                 return None
             return own._replace(incarnation=claim.incarnation + 1)
         if own.status == LEAVING and claim.status == LEAVING:
@@ -146,21 +148,21 @@
             self.suspect_since_s.pop(member.name, None)
 
     def set_status(self, name: str, status: str, now_s: float) -> list[Member]:
-        """Set a status from what is seen here; return the change, if any."""
+        """Set a status observed by this node; return the change, if any."""
         known = self.by_name.get(name)
         if known is None or known.status in (status, GONE):
             return []
         return self.apply([known._replace(status=status)], now_s)
 
     def leave(self, now_s: float) -> list[Member]:
-        """Record that this node is leaving, as a planned stop begins."""
+        """Mark this node as leaving at the start of a planned stop."""
         own = self.own
         leaving = own._replace(status=LEAVING, counter=own.counter + 1)
         self._set(leaving, now_s)
         return [leaving]
 
     def expire_suspects(self, now_s: float, gone_s: float) -> list[Member]:
-        """Turn VMs that were suspect for long into gone ones."""
+        """Mark VMs as gone that were suspect for longer than gone_s."""
         late = [
             name
             for name, since_s in self.suspect_since_s.items()
@@ -175,9 +177,9 @@
     def apply_vm_list(
         self, found: dict[str, ListedState], now_s: float
     ) -> tuple[dict[str, ListedState], list[Member]]:
-        """Take what is newer on the platform's list.
+        """Apply newer entries of the platform's list.
 
-        Return the entries taken and the members that change by them.
+        Return the entries that changed and the members changed by them.
         """
         taken = {}
         changed = []
@@ -188,14 +190,14 @@
             self.generation += 1
             self.listed[name] = entry
             if known is not None and known.state == entry.state:
-                # Read again, no news: passing that on would cost as much
-                # as the whole list, from each VM that starts.
+                # Only the time of reading is newer: passing it on would
+                # resend the whole list for each VM that starts.
                 continue
             taken[name] = entry
             if entry.state == LEAVING:
                 changed += self.set_status(name, LEAVING, now_s)
-            # Off the list and silent: no need to wait longer. Off the list
-            # but heard from: the list lags behind a new VM.
+            # A suspect VM that is off the list is gone. One that is heard
+            # from is new, and the list lags.
             if entry.state == ABSENT and name in self.suspect_since_s:
                 changed += self.set_status(name, GONE, now_s)
         return taken, changed
@@ -203,7 +205,7 @@
     def diff_vm_list(
         self, states: dict[str, str], now_ms: int
     ) -> dict[str, ListedState]:
-        """Return what a reading of the list changes against what is known."""
+        """Return the entries that a new reading of the list changes."""
         changes = {
             name: ListedState(state, now_ms)
             for name, state in states.items()
@@ -215,7 +217,7 @@
         return changes
 
     def digest(self) -> int:
-        """Return a digest of all that is spread about members."""
+        """Return a digest of the members and of the list, for comparison."""
         if self._digest[0] == self.generation:
             return self._digest[1]
         total = 0
@@ -239,10 +241,10 @@
         ]
 
     def tree_domains(self) -> dict[str, str]:
-        """Return failure domains of VMs that carry the spread, by name.
+        """Return the failure domain of each VM in the link topology, by name.
 
-        A suspect keeps its place until it is gone, so that a VM that is
-        only slow moves nobody.
+        A suspect VM stays in until it is gone, so that a slow VM does not
+        make others change their links.
         """
         placed = {
             member.name: member.failure_domain
@@ -253,7 +255,7 @@
         return placed
 
     def voters(self) -> set[str]:
-        """Return the VMs that a majority is measured by."""
+        """Return the VMs that a majority is counted against."""
         counted = set()
         for member in self.by_name.values():
             entry = self.listed.get(member.name)
@@ -267,7 +269,7 @@
         return counted
 
     def forget_gone(self, now_s: float) -> None:
-        """Drop VMs that are gone, off the list, and so for a long time."""
+        """Drop VMs that are off the list and have long been gone."""
         for name, since_s in list(self._gone_since_s.items()):
             entry = self.listed.get(name)
             listed = entry is not None and entry.state != ABSENT
@@ -278,7 +280,7 @@
                 self.listed.pop(name, None)
 
     def update_metrics(self) -> None:
-        """Put the number of members by status into the metrics."""
+        """Set the metric of members by status."""
         for status in _STATUS_PRECEDENCE:
             number = sum(
                 1 for m in self.by_name.values() if m.status == status
--- a/gentianstair/peers/node.py
+++ b/gentianstair/peers/node.py
@@ -1,4 +1,4 @@
-"""Run one node's part in the fleet: links, membership, spread."""
+"""Run one VM among its peers: links, membership and configuration."""
 
 import math
 import random
@@ -28,19 +28,22 @@
 from gentianstair.store import vm_list as vm_list_module
 from gentianstair.util import clock as clock_module
 
+# Links at which further incoming ones are refused.
 MAX_LINKS = 64
 HELLO_TIMEOUT_S = 3.0
-# Share of watch_s by which news must be newer than what a peer has, to be
-# passed on before the next heartbeat.
+# Share of watch_s by which our view must be fresher than a peer's for a
+# heartbeat ahead of schedule.
 EARLY_HEARTBEAT_SHARE = 0.5
+# Surveys for confirmed revisions, while VMs are missing.
 CONFIRM_ATTEMPTS = 2
-# Nodes that count when the first watchers' count does not come.
+# Expected number of other nodes that start a survey when the first watchers'
+# does not come.
 BACKUP_SURVEYORS = 16
-# Shortest time between two rounds of summaries, and the bytes a second that
-# all VMs' summaries together may bring to one VM.
+# Shortest time between two rounds of summaries, and the limit on the bytes a
+# second that all VMs' summaries together send to one VM.
 MIN_SUMMARY_INTERVAL_S = 0.25
 MAX_SUMMARY_BYTES_PER_S = 200e3
-# Beats that carry the digest of the members: one in so many.
+# One in this many heartbeats carries the digest of the members.
 HEARTBEATS_PER_MEMBERS_DIGEST = 8
 
 LINK_COUNT = prometheus_client.Gauge(
@@ -131,26 +134,26 @@
         self.started = trio.Event()
         self.address = ''
 
-    # What the rest of the process asks.
+    # Interface for the rest of the process.
 
     def is_fresh(self) -> bool:
         """Say whether callers may be served from this node's view."""
         return self._freshness.is_fresh(self._voter_count)
 
     def config_age_s(self) -> float | None:
-        """Return the age of the news from the store; None without any."""
+        """Return the time since the view matched the store, if known."""
         return self._freshness.age_s()
 
     def members(self) -> list[membership.Member]:
-        """Return all VMs known, by name."""
+        """Return all known VMs, sorted by name."""
         return sorted(self._members.by_name.values())
 
     def link_count(self) -> int:
-        """Return how many links to peers are up."""
+        """Return the number of links that are up."""
         return len(self._sessions)
 
     def publish(self, topic: str, body: summaries_module.Body) -> None:
-        """Spread this node's summary on a topic; a later one replaces it."""
+        """Publish this node's summary on a topic, replacing the last one."""
         self._summaries.publish(topic, body)
 
     def subscribe(self, topic: str, handler: summaries_module.Handler) -> None:
@@ -162,12 +165,12 @@
     ) -> dict[str, int]:
         """Return the configuration revision in force by VM name.
 
-        A VM that is known and left out did not confirm in time.
+        Known VMs that did not answer in time are left out.
         """
         found: dict[str, int] = {}
         voters = self._members.voters()
-        # A link that closes during a survey takes the answers behind it
-        # along, so VMs that are missing are asked for again.
+        # A link that closes during a survey loses the answers behind it, so
+        # the survey is repeated when VMs are missing.
         for _ in range(CONFIRM_ATTEMPTS):
             result = await self._surveys.run(
                 timeout_s / CONFIRM_ATTEMPTS, revisions=True
@@ -178,7 +181,7 @@
         return found
 
     def leave(self) -> None:
-        """Tell the peers that this VM is leaving; links stay up."""
+        """Tell the peers that this VM is leaving; keep the links."""
         self._broadcaster.broadcast_members(self._members.leave(self._clock()))
 
     # Tasks.
@@ -186,7 +189,7 @@
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Take part until cancelled."""
+        """Serve and keep links to peers until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             self.address = await nursery.start(
@@ -239,7 +242,7 @@
                 data = await channel.receive()
             hello = link.decode(data)
             if hello is None or hello['type'] != 'hello':
-                raise errors.DecodeError('a link must open with a hello')
+                raise errors.DecodeError('first message is not a hello')
         except (link.LinkClosedError, errors.DecodeError, trio.TooSlowError):
             return
         peer = membership.from_message(hello['member'])
@@ -261,7 +264,7 @@
                     nursery.start_soon(self._write, session)
                     await self._read(session)
         except* (link.LinkClosedError, errors.DecodeError) as group:
-            loguru.logger.bind(peer=peer.name).debug('link ended: {}', group)
+            loguru.logger.bind(peer=peer.name).debug('link closed: {}', group)
         finally:
             self._sessions.remove(session)
             self._topology_changed.set()
@@ -273,7 +276,7 @@
     def _close_duplicate_link(self, name: str) -> None:
         """Keep one link when two nodes dialed each other at once.
 
-        Both ends keep the one that the lesser name dialed.
+        Both ends keep the link that the lesser name dialed.
         """
         duplicates = [
             session for session in self._sessions if session.peer.name == name
@@ -302,19 +305,19 @@
     def _handle(
         self, session: session_module.Session, message: link.Message
     ) -> None:
-        """Act on a message; one that makes no sense ends its link alone."""
+        """Handle a message; an invalid one closes only its own link."""
         try:
             self._handlers[message['type']](self, session, message)
         except (ArithmeticError, ValueError, TypeError, KeyError) as error:
-            # The schema bounds types, not sense: a peer with a fault can
-            # send a time of 2**70 ms, and must not take this VM with it.
+            # The schema checks types, not ranges: a faulty peer may send a
+            # time of 2**70 ms.
             link.DROPPED_MESSAGES.labels('senseless').inc()
             raise errors.DecodeError(f'{message["type"]}: {error}') from error
 
     async def _heartbeat_loop(self) -> None:
-        """Do once a heartbeat all that is due by time."""
-        # One loop and one timer: most of an idle node's processor time is
-        # spent on waking up.
+        """Run all periodic work once a heartbeat interval."""
+        # One timer for all: wake-ups take most of an idle node's processor
+        # time.
         interval_s = self._settings.heartbeat_s
         while True:
             now_s = self._clock()
@@ -329,19 +332,19 @@
             )
             self._members.forget_gone(now_s)
             self._start_survey_if_due()
-            # Jittered, so that nodes started together do not beat together.
+            # Jittered, so that nodes started together do not stay in step.
             pause_s = interval_s * self._rng.uniform(0.9, 1.1)
             pause_s = min(pause_s, self._next_survey_in_s())
             await self._wait_and_update_links(now_s + pause_s)
 
     async def _wait_and_update_links(self, due_s: float) -> None:
-        """Wait until due_s, and meanwhile replace links that ended."""
+        """Wait until due_s; update the links when members or links change."""
         while self._clock() < due_s:
             with trio.move_on_after(due_s - self._clock()) as scope:
                 await self._topology_changed.wait()
             if scope.cancelled_caught:
                 return
-            # A pause, so that many changes at once cost one look.
+            # Batches changes that come at the same time.
             await trio.sleep(self._settings.heartbeat_s / 10)
             self._topology_changed = trio.Event()
             self._update_links(self._clock())
@@ -365,7 +368,7 @@
         CONFIG_AGE.set(-1.0 if age_s is None else age_s)
 
     def _update_links(self, now_s: float) -> None:
-        """Open the links that this node's place asks for, close others."""
+        """Open the links of this node's position, and close others."""
         position = self._find_position(now_s)
         for name in position.dial:
             member = self._members.by_name[name]
@@ -383,9 +386,9 @@
         self._nursery.start_soon(self._dial, name, address)
 
     def _close_surplus_link(self, position: topology.Position) -> None:
-        """Close a link we opened that our place no longer asks for."""
-        # One a round, and only with the others up, so that a node is never
-        # without news while it moves.
+        """Close one link that this node dialed and no longer needs."""
+        # One at a time and only while enough others are synced, so that the
+        # node keeps receiving changes while its position moves.
         ready = [session for session in self._sessions if session.synced]
         if len(ready) <= len(position.dial):
             return
@@ -395,10 +398,10 @@
                 return
 
     async def _summary_loop(self) -> None:
-        """Send summaries that changed, seldom enough for the fleet's size.
+        """Send changed summaries, at a rate that fits the fleet's size.
 
-        Each summary goes to every VM, so its cost grows with their number;
-        the pause grows with it and the bytes a second stay bounded.
+        Each summary goes to every VM, so the pause grows with their number
+        to limit the bytes a second.
         """
         while True:
             await self._summaries.wait_published()
@@ -411,9 +414,9 @@
             await trio.sleep(max(MIN_SUMMARY_INTERVAL_S, pause_s))
 
     async def _watch_loop(self) -> None:
-        """Watch the store while this node's place asks for it."""
-        # A moment for peers to bring the view, which spares the store a
-        # listing for each VM that starts.
+        """Watch the store while this node is a watcher or has no link."""
+        # Peers may send the view first, which spares the store a listing for
+        # each VM that starts.
         await self._wait_for_peers()
         while True:
             if not self._should_watch():
@@ -434,7 +437,7 @@
                 await trio.sleep(self._settings.heartbeat_s / 10)
 
     def _should_watch(self) -> bool:
-        """Say whether to watch: by place, or for want of any peer."""
+        """Say whether this node is a watcher or has no link."""
         position = self._find_position(self._clock())
         return position.level == 0 or not self._sessions
 
@@ -446,10 +449,10 @@
                     self._apply_vm_list(await vm_list.read())
                 except (errors.StoreError, errors.DecodeError) as error:
                     loguru.logger.debug(
-                        'the list of VMs was not read: {}', error
+                        'cannot read the list of VMs: {}', error
                     )
-            # The first watcher reads for its failure domain; the others
-            # read seldom, in case it cannot.
+            # The first watcher reads for its failure domain; the others read
+            # less often, in case it cannot.
             position = self._find_position(self._clock())
             pause_s = self._settings.vms_s * (1 + 2 * position.rank)
             await trio.sleep(pause_s * self._rng.uniform(0.75, 1.25))
@@ -469,7 +472,7 @@
             for vm in found
             if vm.name not in self._members.by_name
         ]
-        # Not spread: the VM itself will be, once its process runs.
+        # Not forwarded: peers learn of the VM once its process runs.
         self._members.apply(new, now_s)
         states = {vm.name: vm.state for vm in found}
         now_ms = int(time.time() * 1000)
@@ -483,11 +486,11 @@
         self._broadcaster.broadcast_members(changes)
 
     def _survey_after_s(self) -> float:
-        """Return the store's silence after which this node counts VMs.
+        """Return the store's silence after which this node runs a survey.
 
-        The first watcher of each failure domain counts for all, early
-        enough for the count to be everywhere before any view is stale.
-        The others wait longer.
+        The first watcher of each failure domain runs it early enough for
+        the count to reach all VMs before a view is too old. The others wait
+        longer.
         """
         survey_after_s = self._settings.freshness_s / 2
         position = self._find_position(self._clock())
@@ -495,7 +498,7 @@
         return survey_after_s if first else 1.5 * survey_after_s
 
     def _next_survey_in_s(self) -> float:
-        """Return the seconds until a survey would be due; never none."""
+        """Return the time until a survey is due, at least a short pause."""
         least_s = self._settings.freshness_s / 12
         silent_s = self._freshness.store_silence_s()
         if silent_s is None:
@@ -503,7 +506,7 @@
         return max(least_s, self._survey_after_s() - silent_s)
 
     def _start_survey_if_due(self) -> None:
-        """Count who is in reach when the store has been silent."""
+        """Start a survey when the store has been silent for long."""
         silent_s = self._freshness.store_silence_s()
         survey_after_s = self._survey_after_s()
         if silent_s is None or silent_s < survey_after_s or self._surveying:
@@ -526,7 +529,7 @@
             self._surveying = False
 
     def _record_reached(self, reached: int, at_s: float) -> None:
-        """Take a count of VMs within reach and pass it on if it is news."""
+        """Record a count of VMs and forward it if it is newer."""
         if not self._freshness.record_reached(reached, at_s):
             return
         gain_s = self._settings.freshness_s / 8
@@ -534,7 +537,7 @@
             if at_s - session.peer_reached_at_s >= gain_s:
                 session.request_heartbeat()
 
-    # What is sent.
+    # Outgoing messages.
 
     def _make_heartbeat(self) -> link.Message:
         includes_members_digest = (
@@ -549,21 +552,21 @@
         )
 
     def _send_early_heartbeats(self) -> None:
-        """Beat early to the peers that our news would make much fresher."""
+        """Send a heartbeat now to peers whose view is much older."""
         as_of_s = self._freshness.as_of_s or 0.0
         gain_s = EARLY_HEARTBEAT_SHARE * self._settings.watch_s
         for session in self._sessions:
             if as_of_s - session.peer_as_of_s >= gain_s:
                 session.request_heartbeat()
 
-    # What is heard.
+    # Incoming messages.
 
     def _handle_members(
         self, session: session_module.Session, message: messages.PeerMembers
     ) -> None:
         found = [membership.from_message(m) for m in message['members']]
         changes = self._members.apply(found, self._clock())
-        # A refutation of a claim about us must reach the claimant too.
+        # A refutation must also reach the peer that made the claim.
         own = [member for member in changes if member.name == self.name]
         self._broadcaster.broadcast_members(own)
         others = [member for member in changes if member.name != self.name]
@@ -613,7 +616,7 @@
         heartbeat: messages.PeerBeat,
         sent_after_s: float,
     ) -> None:
-        """Take from a beat how fresh the sender's view was."""
+        """Record how fresh a heartbeat shows the sender's view to be."""
         if 'age_ms' in heartbeat:
             as_of_s = sent_after_s - heartbeat['age_ms'] / 1000
             if self._freshness.record_store_view(as_of_s):
@@ -632,10 +635,10 @@
         heartbeat: messages.PeerBeat,
         now_s: float,
     ) -> None:
-        """Ask for objects when two views stay different.
+        """Ask for objects when the peer's view stays different from ours.
 
-        Views differ for an instant at each change. They stay different when
-        an object was missed, for which the cause does not matter here.
+        Views differ briefly after each change; they stay different only
+        when an object was missed.
         """
         if heartbeat['digest'] == self._view.digest:
             session.differing_since_s = None
@@ -648,7 +651,7 @@
             return
         session.differing_since_s = now_s
         if heartbeat['revision'] >= self._view.revision:
-            # Its news say nothing of our view until the hole is mended.
+            # Its freshness says nothing of our view until the repair.
             session.synced = False
         CONFIG_REPAIRS.inc()
         buckets = self._view.buckets if self._view.objects else []
@@ -697,7 +700,7 @@
         'hello': lambda self, session, message: None,
     }
 
-    # Places.
+    # Topology.
 
     def _is_linked(self, name: str) -> bool:
         return any(session.peer.name == name for session in self._sessions)
@@ -730,9 +733,9 @@
     vm_list: vm_list_module.VmList | None = None,
     rng: random.Random | None = None,
 ) -> Node:
-    """Return a node; without a network or list, those of the settings.
+    """Return a node; by default its network and list are as configured.
 
-    Raise SettingsError when the settings do not allow the links they ask.
+    Raise SettingsError when the settings do not allow such links.
     """
     return Node(
         settings,
--- a/gentianstair/peers/store_watcher.py
+++ b/gentianstair/peers/store_watcher.py
@@ -1,4 +1,4 @@
-"""Follow the store on the few VMs of a failure domain that watch it."""
+"""Watch the store for changes of the configuration."""
 
 import random
 import typing
@@ -11,10 +11,11 @@
 from gentianstair.store import store as store_module
 from gentianstair.util import clock as clock_module
 
-# Pause after a watch that found changes, so that a burst of changes costs
-# a few calls and not one for each.
+# Pause after a watch that found changes, so that a burst of changes takes
+# few calls.
 COALESCE_PAUSE_S = 0.05
-# Share of a watch's time after which the store's clock may call it over.
+# Share of watch_s after which a watch counts as waited to its end; less than
+# 1 since the store's clock may run faster.
 FULL_WAIT_SHARE = 0.98
 MIN_RETRY_S = 0.25
 MAX_RETRY_S = 4.0
@@ -29,7 +30,7 @@
 
 
 class Watcher:
-    """Bring the store's changes into a view, and learn how fresh it is."""
+    """Apply the store's changes to a view and track its freshness."""
 
     def __init__(
         self,
@@ -45,14 +46,14 @@
         self._watch_s = watch_s
         self._rng = rng
         self._retry_s = MIN_RETRY_S
-        # The store revision up to which this watcher saw all changes; None
-        # until it listed, or knows that peers gave it a whole view.
+        # The store revision up to which all changes were applied; None until
+        # a listing, or until peers have sent the whole view.
         self._cursor: int | None = None
         self._highest_revision = 0
         self._pause_s = 0.0
 
     def resume_from_view(self) -> None:
-        """Skip the listing: the view came whole from a peer."""
+        """Skip the initial listing, as a peer has sent the whole view."""
         if self._cursor is None and self._view.revision:
             self._cursor = self._view.revision
 
@@ -61,8 +62,8 @@
     ) -> tuple[list[store_module.StoredObject], float | None]:
         """List or watch once.
 
-        Return the objects that were news here, and the time up to which
-        the view is now known to be the store's; None when not known.
+        Return the objects that changed the view, and the time at which the
+        view is known to have matched the store, or None.
         """
         try:
             if self._cursor is None:
@@ -74,8 +75,8 @@
             return [], None
         except errors.StoreError:
             WATCH_ERRORS.inc()
-            # Jittered, so that the fleet's watchers do not return to a
-            # store that has just come back all at the same instant.
+            # Jittered, so that the watchers of the fleet do not all retry
+            # at the same instant.
             await trio.sleep(self._retry_s * self._rng.uniform(0.5, 1.0))
             self._retry_s = min(2 * self._retry_s, MAX_RETRY_S)
             return [], None
@@ -99,7 +100,7 @@
     def _find_deleted(
         self, kind: str, found: store_module.Listing
     ) -> list[store_module.StoredObject]:
-        """Return deletions that a listing shows by leaving objects out."""
+        """Return deletions of live objects that a listing lacks."""
         listed_names = {item.name for item in found.objects}
         return [
             store_module.StoredObject(kind, item.name, found.revision, None)
@@ -118,8 +119,8 @@
         as_of_s = sent_s
         waited_s = FULL_WAIT_SHARE * self._watch_s
         if not found.objects and self._clock() - sent_s >= waited_s:
-            # The store waited the whole time before it said that nothing
-            # changed, so that is when it was true.
+            # The store waited to the end of the watch before it reported no
+            # change.
             as_of_s = sent_s + waited_s
         confirmed_s = self._as_of_unless_stale(found.revision, as_of_s)
         self._cursor = max(cursor, found.revision)
@@ -130,11 +131,11 @@
     def _as_of_unless_stale(
         self, revision: int, as_of_s: float
     ) -> float | None:
-        """Return as_of_s unless the store answered from the past.
+        """Return as_of_s, or None for an answer of a lagging replica.
 
-        A replica that lags shows a revision below one that we, or a peer,
-        have seen. What it says is old news and must not count as fresh, or
-        a revoked key would work for as long as the replica lags.
+        Such an answer has a lower revision than this node or a peer has
+        seen. If it counted as fresh, a revoked key would work for as long
+        as the replica lags.
         """
         self._highest_revision = max(
             self._highest_revision, self._view.revision
@@ -149,7 +150,7 @@
 def to_stored_objects(
     found: typing.Iterable[typing.Mapping[str, typing.Any]],
 ) -> list[store_module.StoredObject]:
-    """Return the objects that a message carries."""
+    """Return the objects of a message as the store's type."""
     return [
         store_module.StoredObject(
             item['kind'], item['name'], item['version'], item['value']
--- a/gentianstair/peers/summaries.py
+++ b/gentianstair/peers/summaries.py
@@ -1,4 +1,4 @@
-"""Spread small summaries between nodes: the newest of each VM and topic."""
+"""Keep the newest summary of each VM and topic, and publish our own."""
 
 import collections
 import typing
@@ -10,6 +10,7 @@
 from gentianstair.generated import messages
 from gentianstair.peers import link
 
+# Encoded size of one summary's body.
 MAX_BODY_BYTES = 4096
 MAX_TOPICS_PER_VM = 16
 
@@ -18,7 +19,7 @@
 
 
 class Summaries:
-    """The newest summaries known, and who wants to hear of them."""
+    """The newest summaries known, and the subscribers by topic."""
 
     def __init__(self, name: str, incarnation: typing.Callable[[], int]):
         self._name = name
@@ -36,20 +37,22 @@
         """
         size = len(cbor2.dumps(body))
         if size > MAX_BODY_BYTES:
-            raise errors.DecodeError(f'summary {topic}: {size} bytes')
+            raise errors.DecodeError(
+                f'summary {topic!r} of {size} bytes is too large'
+            )
         self._pending[topic] = body
         self._published.set()
 
     async def wait_published(self) -> None:
-        """Return once there is a summary that due() was not asked for."""
+        """Return once a summary was published since the last take_due()."""
         await self._published.wait()
 
     def subscribe(self, topic: str, handler: Handler) -> None:
-        """Call handler(origin, body) for each change of another VM."""
+        """Call handler(origin, body) when another VM's summary changes."""
         self._handlers[topic].append(handler)
 
     def take_due(self) -> list[link.Message]:
-        """Return what changed of this node's summaries since last time."""
+        """Return this node's summaries that changed since the last call."""
         changed = []
         for topic, body in self._pending.items():
             known = self._latest.get((self._name, topic))
@@ -71,7 +74,7 @@
         return changed
 
     def apply(self, summary: messages.PeerSummary) -> bool:
-        """Take a summary of another VM; say whether it is news here."""
+        """Keep another VM's summary if it is newer; say whether it is."""
         origin, topic = summary['origin'], summary['topic']
         if origin == self._name:
             return False
--- a/gentianstair/peers/survey.py
+++ b/gentianstair/peers/survey.py
@@ -1,9 +1,9 @@
-"""Count the VMs within reach, and ask them for their revisions.
+"""Count the VMs that can be reached, and collect their revisions.
 
-A survey is a wave over the links: a node that hears of it first asks its
-other links, adds their answers to its own and answers; one that knows the
-survey already answers nought at once. So each VM is counted once, and only
-if bytes pass both ways.
+A survey floods the links. A node that receives it for the first time forwards
+it on its other links, adds up their answers and answers with the sum. A node
+that has seen it answers zero at once. So each VM is counted once, and only if
+messages pass both ways.
 """
 
 import math
@@ -16,14 +16,16 @@
 from gentianstair.peers import link
 from gentianstair.peers import session as session_module
 
-# Share of the time left that one hop leaves to the hops behind it.
+# Share of its own timeout that a node gives to the nodes behind it.
 HOP_TIMEOUT_SHARE = 0.8
+# Survey ids kept to recognise repeated ones.
 MAX_REMEMBERED_SURVEYS = 256
+# Limit on the timeout that a peer may ask for.
 MAX_TIMEOUT_MS = 10000
 
 
 class Result(typing.NamedTuple):
-    """How many VMs answered, this one included, and what they said."""
+    """Number of VMs reached, this one included, and their revisions."""
 
     reached: int
     revisions: dict[str, int]
@@ -44,7 +46,7 @@
         self._seen: dict[str, None] = {}
 
     async def run(self, timeout_s: float, revisions: bool) -> Result:
-        """Run a survey from here."""
+        """Run a survey from this node and return its result."""
         survey_id = f'{self._name}/{secrets.token_hex(6)}'
         self._remember(survey_id)
         return await self._flood(survey_id, timeout_s, revisions, None)
@@ -52,7 +54,7 @@
     async def answer(
         self, requester: session_module.Session, survey: messages.PeerSurvey
     ) -> None:
-        """Answer a survey that came on a link."""
+        """Answer a survey received on a link."""
         survey_id = survey['survey_id']
         if survey_id in self._seen:
             found = Result(0, {})
@@ -114,14 +116,14 @@
     def handle_answer(
         source: session_module.Session, answer: messages.PeerSurveyAnswer
     ) -> None:
-        """Hand an answer to the survey that waits for it, if still so."""
+        """Pass an answer to its survey, if that still waits."""
         send = source.survey_answers.pop(answer['survey_id'], None)
         if send is not None:
             send.send_nowait(answer)
 
 
 def answer_for_lost_link(source: session_module.Session) -> None:
-    """Count the part behind a broken link as nought, at once."""
+    """Answer open surveys with zero for a link that was lost."""
     answers = dict(source.survey_answers)
     source.survey_answers.clear()
     for send in answers.values():
--- a/gentianstair/peers/topology.py
+++ b/gentianstair/peers/topology.py
@@ -1,4 +1,8 @@
-"""Choose which peers a node links to, bounded whatever the fleet's size."""
+"""Choose the peers that a node links to: few, whatever the fleet's size.
+
+The VMs of each failure domain form a tree: watchers of the store at level 0,
+each further level linked to the one above.
+"""
 
 import typing
 
@@ -6,14 +10,15 @@
 
 # Links of a watcher to watchers of other failure domains, at most.
 MAX_CROSS_DOMAIN_LINKS = 4
-# Peers of the level above that a node subscribes to.
+# Links of a node to the level above, at most.
 MAX_PARENTS = 2
 
 
 class Position(typing.NamedTuple):
-    """Where a node stands; level 0 watches the store.
+    """A node's position in its failure domain's tree.
 
-    ``dial`` are the peers that the node opens links to, best first.
+    Nodes at level 0 watch the store. ``rank`` is the index within the level,
+    ``dial`` the peers that the node opens links to, most preferred first.
     """
 
     level: int
@@ -28,10 +33,10 @@
 def split_levels(
     names: typing.Iterable[str], watchers: int, fanout: int
 ) -> list[list[str]]:
-    """Split a failure domain's VMs into levels that each feed the next.
+    """Split a failure domain's VMs into the levels of a tree.
 
-    The order is by hash, so a VM that goes moves one VM of each level up
-    and leaves all others where they were.
+    VMs are ordered by hash, so that the loss of one moves at most one VM of
+    each level and leaves the others in place.
 
     >>> [len(level) for level in split_levels(map(str, range(300)), 3, 6)]
     [3, 18, 108, 171]
@@ -75,10 +80,10 @@
     fanout: int,
     unreachable: typing.Container[str] = (),
 ) -> Position:
-    """Return the place of a VM; domains gives each VM's failure domain.
+    """Return the position of a VM; domains maps VMs to failure domains.
 
-    VMs that are unreachable from here are passed over, so that a cut to one
-    parent leads to another.
+    Unreachable VMs are skipped, so that another parent replaces one that
+    cannot be reached.
     """
     own_domain = domains[name]
     levels_by_domain: dict[str, list[list[str]]] = {}
@@ -97,8 +102,8 @@
         return Position(level, rank, tuple(dial))
     parents = _rendezvous_order(name, own_levels[level - 1])
     dial = [vm for vm in parents if vm not in unreachable][:MAX_PARENTS]
-    # One link leaves the failure domain at each node, by rendezvous among
-    # all others: when every watcher of the domain is lost, news still come.
+    # One link to another failure domain keeps the node up to date when all
+    # watchers of its own are lost.
     others = [vm for vm, where in domains.items() if where != own_domain]
     if others:
         reachable = [vm for vm in others if vm not in unreachable]
--- a/test/peers/fleet.py
+++ b/test/peers/fleet.py
@@ -1,4 +1,4 @@
-"""Run several nodes in one process on links in memory."""
+"""Run several nodes in one process, linked in memory."""
 
 import contextlib
 import random
@@ -17,7 +17,7 @@
 
 
 class FakeVmList(vm_list.VmList):
-    """A list of VMs that a test writes."""
+    """The platform's list of VMs, written by tests."""
 
     def __init__(self):
         self.vms = {}
@@ -28,7 +28,7 @@
 
 
 class RunningVm:
-    """One node of a fleet and what belongs to it."""
+    """A node of the fleet with its view, store and cancel scope."""
 
     def __init__(self, node, view, store, scope):
         self.node = node
@@ -38,7 +38,7 @@
 
 
 class Fleet:
-    """Nodes by name on one hub, one store and one list of VMs."""
+    """Nodes that share one hub, one store and one list of VMs."""
 
     def __init__(self, nursery, seed=1, **settings):
         self.nursery = nursery
@@ -51,7 +51,7 @@
         self.versions = {}
 
     def start(self, name, domain='a'):
-        """Start a VM; one that had the name is a former incarnation."""
+        """Start a VM, also as a new incarnation of a killed one."""
         address = f'{name}:1'
         given = {
             'vm_name': name,
@@ -87,7 +87,7 @@
             self.start(f'v{index}', 'abcdefghij'[index % domains])
 
     def kill(self, name):
-        """Stop a VM as by SIGKILL."""
+        """Stop a VM without notice, as SIGKILL does."""
         self.running.pop(name).scope.cancel()
 
     def write(self, kind, name, value):
@@ -106,7 +106,7 @@
         ]
 
     def set_store_down(self, down, names=None):
-        """Take the store away from nodes, or give it back."""
+        """Make the store unreachable for nodes, or reachable again."""
         for vm in self.select(names):
             vm.store.faults.down = down
 
@@ -128,8 +128,7 @@
         fleet.write('key', 'k1', key())
         fleet.start_many(number, domains)
         await fleet.wait(lambda vm: vm.node.is_fresh())
-        # The list of VMs names members before they are linked; those heard
-        # of by links have an incarnation.
+        # Members known only from the list of VMs have incarnation 0.
         await fleet.wait(
             lambda vm: (
                 vm.node.link_count() > 0
--- a/test/peers/test_node.py
+++ b/test/peers/test_node.py
@@ -1,4 +1,4 @@
-"""Test nodes together: spread, freshness, membership under failures."""
+"""Test configuration, freshness and membership of nodes under failures."""
 
 import pytest
 import trio
@@ -9,12 +9,12 @@
 from test.peers import fleet as fleet_module
 
 FRESHNESS_S = 6.0
-# From a revocation to the last VM that honours it: a view goes stale after
-# freshness_s, and a beat under way adds less than a second.
-LIMIT_S = FRESHNESS_S + 1.0
+# Longest time from a revocation until no VM accepts the key: a view expires
+# after freshness_s, and a heartbeat in flight adds less than a second.
+REVOCATION_LIMIT_S = FRESHNESS_S + 1.0
 
 
-async def test_a_change_reaches_every_node(autojump_clock):
+async def test_change_reaches_every_node(autojump_clock):
     async with fleet_module.open_fleet(12) as fleet:
         revision = fleet.write('key', 'k2', fleet_module.key())
         took_s = await fleet.wait(lambda vm: vm.view.revision >= revision)
@@ -26,11 +26,11 @@
 @pytest.mark.promise
 @pytest.mark.parametrize('cut_off', [[], ['v0'], ['v0', 'v1', 'v2', 'v3']])
 async def test_revoked_key_stops_within_seconds(autojump_clock, cut_off):
-    """A caller goes on with a revoked key at a VM that missed the news.
+    """A VM that is cut off keeps accepting a revoked key.
 
-    Some VMs, or one alone, lose the store and the other VMs in the same
-    instant; then an operator revokes the key. They cannot hear of it, so
-    what stops the key there is that their view grows too old.
+    No VM, one, or half of them lose the store and the others, and then the
+    key is revoked. The VMs that are cut off must refuse once their view is
+    too old.
     """
     async with fleet_module.open_fleet(8) as fleet:
         rest = [name for name in fleet.running if name not in cut_off]
@@ -40,9 +40,9 @@
         fleet.set_store_down(True, cut_off)
         fleet.write('key', 'k1', fleet_module.key(revoked=True))
         await fleet.wait(
-            lambda vm: not fleet_module.accepts(vm), limit_s=LIMIT_S
+            lambda vm: not fleet_module.accepts(vm), limit_s=REVOCATION_LIMIT_S
         )
-        # It stays so: half of the VMs is no majority.
+        # Half of the VMs is no majority, so they keep refusing.
         for _ in range(60):
             await trio.sleep(1.0)
             assert not any(fleet_module.accepts(vm) for vm in fleet.select())
@@ -54,22 +54,22 @@
 
 
 @pytest.mark.promise
-async def test_bytes_held_up_by_a_cut_are_not_fresh_news(autojump_clock):
-    """A VM honours a revoked key again for a moment when a cut heals.
+async def test_heartbeats_delayed_by_a_partition_do_not_refresh(
+    autojump_clock,
+):
+    """A VM briefly accepts a revoked key again when a partition heals.
 
-    The beats of the last second before the cut wait in the kernel and come
-    out when it heals. They say that the view was current; that was true
-    when they were sent. The store is still down for the VM at that time.
+    Heartbeats sent before the partition are delivered when it heals. They
+    must count from when they were sent, while the store is still down.
     """
     async with fleet_module.open_fleet(3, domains=1) as fleet:
         fleet.hub.latency_s = 0.5
         await trio.sleep(10.0)
         fleet.set_store_down(True, ['v0'])
         fleet.hub.split(['v0:1'], ['v1:1', 'v2:1'])
-        cut_s = trio.current_time()
+        partition_s = trio.current_time()
         fleet.write('key', 'k1', fleet_module.key(revoked=True))
-        # With its peers gone there is nothing behind the old beats that
-        # would set the VM right.
+        # Without its peers, no later message corrects the VM.
         fleet.kill('v1')
         fleet.kill('v2')
         await trio.sleep(3.0)
@@ -77,17 +77,16 @@
         vm = fleet.running['v0']
         for _ in range(100):
             await trio.sleep(0.01)
-            since_s = trio.current_time() - cut_s
+            since_s = trio.current_time() - partition_s
             assert vm.node.config_age_s() >= since_s - 0.01
 
 
 @pytest.mark.promise
-async def test_store_down_ten_minutes(autojump_clock):
-    """Every caller is refused for as long as the store is down.
+async def test_fleet_serves_during_ten_minutes_without_store(autojump_clock):
+    """Every caller is refused while the store is down for all VMs.
 
-    All VMs lose the store but none of the others. No operator can revoke a
-    key then, so the VMs go on; one that is started meanwhile gets all it
-    needs from its peers; and a change made afterwards reaches all.
+    A VM that starts meanwhile must get its view from peers, and a change
+    made after the outage must reach all.
     """
     async with fleet_module.open_fleet(6) as fleet:
         fleet.set_store_down(True)
@@ -106,11 +105,10 @@
 
 @pytest.mark.promise
 async def test_minority_without_store_refuses(autojump_clock):
-    """Two sides of a partition serve by different keys for minutes.
+    """Both sides of a partition serve, with different keys.
 
-    The store is down for all, then a failure domain is cut off. The others
-    are a majority and go on; the domain alone is none and refuses, also
-    long after it gave the others up.
+    The store is down for all, and then a failure domain is cut off. It must
+    refuse, also after it marked the others as gone; the majority goes on.
     """
     async with fleet_module.open_fleet(9) as fleet:
         fleet.set_store_down(True)
@@ -121,7 +119,7 @@
             [f'{name}:1' for name in away], [f'{name}:1' for name in rest]
         )
         await fleet.wait(
-            lambda vm: not vm.node.is_fresh(), LIMIT_S, names=away
+            lambda vm: not vm.node.is_fresh(), REVOCATION_LIMIT_S, names=away
         )
         for _ in range(120):
             await trio.sleep(1.0)
@@ -129,11 +127,11 @@
             assert all(vm.node.is_fresh() for vm in fleet.select(rest))
 
 
-async def test_one_way_cut_does_not_flap(autojump_clock):
-    """A VM's status flaps and work moves away from it and back for minutes.
+async def test_one_way_cut_does_not_change_status(autojump_clock):
+    """A VM's status flaps while only one path to it is cut.
 
-    v0 hears nothing from v3, though v3 hears v0 and others hear both. Were
-    that enough to suspect v3, it would refute it, again and again.
+    v0 receives nothing from v3, though all others reach both. v0 must not
+    suspect v3, which would refute it again and again.
     """
     async with fleet_module.open_fleet(8) as fleet:
         fleet.hub.cut('v3:1', 'v0:1', one_way=True)
@@ -141,18 +139,14 @@
             await trio.sleep(1.0)
             for vm in fleet.select():
                 states = {(m.status, m.counter) for m in vm.node.members()}
-                # A counter above 0 is a claim that had to be refuted.
+                # A counter above 0 means that a claim was refuted.
                 assert states == {('live', 0)}
                 assert vm.node.is_fresh()
 
 
 @pytest.mark.parametrize('pause_s', [0.0, 3.0, 60.0])
-async def test_vm_returns_with_the_same_address(autojump_clock, pause_s):
-    """A VM that was replaced under its old address is taken for dead.
-
-    Its predecessor was killed and may be suspect or gone by now. Those
-    claims are about the former incarnation and must not touch the new one.
-    """
+async def test_replaced_vm_with_same_address_is_live(autojump_clock, pause_s):
+    """Claims about a killed VM mark its replacement as suspect or gone."""
     async with fleet_module.open_fleet(6) as fleet:
         former = _incarnation(fleet, 'v2')
         fleet.kill('v2')
@@ -179,8 +173,8 @@
     return {m.name: m.incarnation for m in _members(fleet, 'v0')}[name]
 
 
-async def test_all_vms_replaced_at_once(autojump_clock):
-    """After a fleet-wide restart nobody serves, though the store is up."""
+async def test_fleet_recovers_when_all_vms_are_replaced(autojump_clock):
+    """After a restart of the whole fleet no VM serves again."""
     async with fleet_module.open_fleet(9) as fleet:
         for name in list(fleet.running):
             fleet.kill(name)
@@ -191,8 +185,8 @@
         await fleet.wait(fleet_module.accepts, limit_s=10.0)
 
 
-async def test_summaries_reach_all_and_only_newest_counts(autojump_clock):
-    """Two VMs give a customer its whole share each, for want of news."""
+async def test_newest_summary_reaches_all_and_is_not_resent(autojump_clock):
+    """VMs share limits by outdated summaries, or resend unchanged ones."""
     async with fleet_module.open_fleet(6) as fleet:
         heard = {}
         for name, vm in fleet.running.items():
@@ -206,15 +200,15 @@
         assert all(seen == {'v0': {'value': 4}} for seen in heard.values())
         sent = fleet.hub.bytes_sent
         fleet.running['v0'].node.publish('load', {'value': 4})
-        before = fleet.running['v0'].node._summaries.take_due()
-        assert before == [], 'an unchanged summary was sent again'
+        unchanged = fleet.running['v0'].node._summaries.take_due()
+        assert unchanged == [], 'an unchanged summary was sent again'
         assert fleet.hub.bytes_sent == sent
         with pytest.raises(errors.DecodeError):
             fleet.running['v0'].node.publish('load', {'value': 'x' * 5000})
 
 
 HUGE = 2**70
-STRANGER = {
+INVALID_MEMBER = {
     'name': 'x',
     'incarnation': HUGE,
     'counter': -1,
@@ -223,7 +217,7 @@
     'region': '',
     'address': 'nowhere',
 }
-SENSELESS = [
+INVALID_MESSAGES = [
     {'type': 'beat', 'sent_ms': HUGE, 'revision': HUGE, 'digest': -1},
     {
         'type': 'beat',
@@ -238,7 +232,7 @@
         'digest': 0,
         'members_digest': 0,
     },
-    {'type': 'members', 'members': [STRANGER, STRANGER]},
+    {'type': 'members', 'members': [INVALID_MEMBER, INVALID_MEMBER]},
     {'type': 'listed', 'states': {'': {'state': '', 'at_ms': -HUGE}}},
     {'type': 'ask', 'buckets': [HUGE] * 7},
     {
@@ -262,18 +256,18 @@
 ]
 
 
-async def test_senseless_messages_cost_a_link_at_most(autojump_clock):
-    """One VM with a fault takes down every VM that it talks to."""
+async def test_invalid_messages_close_only_their_link(autojump_clock):
+    """A faulty VM takes down every VM that it sends messages to."""
     async with fleet_module.open_fleet(3) as fleet:
         network = memory_network.MemoryNetwork(fleet.hub, 'x:1')
         hello = {
             'type': 'hello',
-            'member': {**STRANGER, 'incarnation': 1},
+            'member': {**INVALID_MEMBER, 'incarnation': 1},
             'digest': 0,
             'members_digest': 0,
             'buckets': [],
         }
-        for message in SENSELESS:
+        for message in INVALID_MESSAGES:
             async with network.open('v0:1') as channel:
                 await channel.send(link.encode(hello))
                 await channel.send(link.encode(message))
--- a/test/peers/test_store_watcher.py
+++ b/test/peers/test_store_watcher.py
@@ -1,4 +1,4 @@
-"""Test that configuration only moves forward, whoever answers late."""
+"""Test that configuration never reverts to an older version."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 class StaleStore(memory_store.MemoryStore):
-    """A store that answers, while past is set, from an old copy."""
+    """A store that answers from stale_table while it is set."""
 
     def __init__(self, table):
         super().__init__(table)
@@ -59,11 +59,10 @@
 @pytest.mark.promise
 @pytest.mark.parametrize('seed', [1, 2, 3])
 async def test_accepted_bundle_never_reverts(autojump_clock, seed):
-    """Callers get an old bundle again some time after a rollout.
+    """A VM serves an old bundle again after a rollout.
 
-    Bundles are accepted while VMs restart, lose their peers or the store,
-    and while the store answers some of them from the past. No VM that
-    serves may ever go back, and none may stay behind.
+    Bundles are accepted while VMs restart and lose their peers or the
+    store. No VM that serves may go back, and in the end all have the newest.
     """
     rng = random.Random(seed)
     async with fleet_module.open_fleet(6, seed=seed) as fleet:
@@ -82,16 +81,16 @@
         accept(fleet, next(numbers))
         for _ in range(40):
             name = rng.choice(sorted(fleet.running))
-            act = rng.choice(['restart', 'cut', 'store', 'accept', 'heal'])
-            if act == 'restart':
+            action = rng.choice(['restart', 'cut', 'store', 'accept', 'heal'])
+            if action == 'restart':
                 fleet.kill(name)
                 fleet.start(name, 'abc'[int(name[1:]) % 3])
-            elif act == 'cut':
+            elif action == 'cut':
                 other = rng.choice(sorted(set(fleet.running) - {name}))
                 fleet.hub.cut(f'{name}:1', f'{other}:1', rng.random() < 0.5)
-            elif act == 'store':
+            elif action == 'store':
                 fleet.set_store_down(rng.random() < 0.5, [name])
-            elif act == 'accept':
+            elif action == 'accept':
                 accept(fleet, next(numbers))
             else:
                 fleet.hub.heal()
@@ -112,30 +111,30 @@
 
 def make_watcher(table):
     view = view_module.View()
-    past = StaleStore(table)
+    stale = StaleStore(table)
     watcher = store_watcher.Watcher(
-        view, past, clock.trio_time_s, 2.0, random.Random(1)
+        view, stale, clock.trio_time_s, 2.0, random.Random(1)
     )
-    return view, past, watcher
+    return view, stale, watcher
 
 
 @pytest.mark.promise
-async def test_store_that_answers_from_the_past(autojump_clock):
-    """A revoked key works again once the store's replica lags.
+async def test_lagging_store_replica_restores_no_revoked_key(autojump_clock):
+    """A revoked key works again when a replica of the store lags.
 
-    A watcher that saw the revocation is sent to a replica from before it.
-    What it gets must neither change the view nor count as fresh.
+    A watcher that saw the revocation then reads from before it. The answer
+    must neither change the view nor count as fresh.
     """
     table = objects.ObjectTable()
     first = table.write('key', 'k1', fleet_module.key(), 0)
-    view, past, watcher = make_watcher(table)
+    view, stale, watcher = make_watcher(table)
     assert (await watcher.step())[1] is not None
-    past.stale_table = copy_table(table)
+    stale.stale_table = copy_table(table)
     table.write('key', 'k1', fleet_module.key(revoked=True), first)
-    past.stale_table, old = None, past.stale_table
+    stale.stale_table, old = None, stale.stale_table
     await watcher.step()
     assert view.key('k1')['revoked']
-    past.stale_table = old
+    stale.stale_table = old
     for restarted in (False, True):
         if restarted:
             watcher._cursor = None
@@ -144,11 +143,11 @@
         assert view.key('k1')['revoked']
 
 
-async def test_listing_shows_deletions_made_while_away(autojump_clock):
-    """A key deleted while a watcher was away works there for ever.
+async def test_listing_removes_keys_deleted_while_not_watching(autojump_clock):
+    """A key deleted while a watcher did not watch works there for ever.
 
-    The changes are no longer kept, so the watcher lists; a listing has no
-    entry for what was deleted.
+    The store no longer keeps the changes, so the watcher lists, and a
+    listing has no entry for a deleted key.
     """
     table = objects.ObjectTable()
     first = table.write('key', 'k1', fleet_module.key(), 0)
@@ -164,7 +163,7 @@
     assert view.customer('acme') is not None
 
 
-def test_late_and_lower_objects_are_ignored():
+def test_objects_of_older_versions_are_ignored():
     view = view_module.View()
     newer = store.StoredObject('key', 'k', 5, fleet_module.key(True))
     older = store.StoredObject('key', 'k', 4, fleet_module.key())
@@ -173,8 +172,8 @@
     assert view.key('k')['revoked']
 
 
-def test_pointer_to_a_lower_bundle_is_not_followed():
-    """An operator's script writes the pointer back to an older number."""
+def test_pointer_to_an_older_bundle_is_ignored():
+    """A pointer written back to an older number reverts the bundle."""
     view = view_module.View()
     for version, number in ((1, 1), (2, 2)):
         view.apply(
@@ -192,7 +191,7 @@
     assert view.bundle()['number'] == 2
 
 
-def test_value_of_a_wrong_shape_is_kept_but_not_used():
+def test_value_that_fails_its_schema_is_kept_but_not_used():
     view = view_module.View()
     view.apply([store.StoredObject('key', 'k', 1, {'customer': 7})])
     assert view.key('k') is None
--- a/test/peers/test_topology.py
+++ b/test/peers/test_topology.py
@@ -1,4 +1,4 @@
-"""Test that links stay few and mostly in place whatever the fleet's size."""
+"""Test that links stay few and stable, whatever the fleet's size."""
 
 import collections
 
@@ -14,7 +14,7 @@
     return {f'vm-{i}': f'd{i % domains}' for i in range(number)}
 
 
-def dials(domains):
+def find_dialed(domains):
     return {
         name: topology.find_position(name, domains, WATCHERS, FANOUT).dial
         for name in domains
@@ -24,9 +24,9 @@
 @pytest.mark.parametrize(
     'number, domains', [(1, 1), (2, 1), (8, 3), (32, 4), (400, 2), (400, 10)]
 )
-def test_links_are_bounded_and_connect_all(number, domains):
-    """One VM ends up with a link from every other as the fleet grows."""
-    found = dials(make_domains(number, domains))
+def test_links_are_bounded_and_connect_all_vms(number, domains):
+    """A VM's links grow with the fleet, or part of it is unreachable."""
+    found = find_dialed(make_domains(number, domains))
     links = collections.defaultdict(set)
     for name, wanted in found.items():
         for other in wanted:
@@ -42,22 +42,24 @@
     assert len(reached) == number
 
 
-@pytest.mark.parametrize('gone', ['vm-0', 'vm-7', 'vm-100'])
-def test_a_vm_that_goes_moves_few(gone):
-    """Each restart makes half the fleet open new links."""
+@pytest.mark.parametrize('lost', ['vm-0', 'vm-7', 'vm-100'])
+def test_lost_vm_changes_few_links(lost):
+    """The loss of one VM makes much of the fleet open new links."""
     domains = make_domains(200, 4)
-    before = dials(domains)
-    del domains[gone]
-    after = dials(domains)
+    before = find_dialed(domains)
+    del domains[lost]
+    after = find_dialed(domains)
     moved = [name for name in after if after[name] != before[name]]
     assert len(moved) <= 40
 
 
-def test_unreachable_parent_is_passed_over():
+def test_unreachable_parent_is_replaced_by_another():
     domains = make_domains(40, 1)
     position = topology.find_position('vm-9', domains, WATCHERS, FANOUT)
     assert position.level > 0
-    lost = position.dial[0]
-    other = topology.find_position('vm-9', domains, WATCHERS, FANOUT, {lost})
-    assert lost not in other.dial
+    unreachable = position.dial[0]
+    other = topology.find_position(
+        'vm-9', domains, WATCHERS, FANOUT, {unreachable}
+    )
+    assert unreachable not in other.dial
     assert len(other.dial) == len(position.dial)
