--- a/gentianstair/peers/outgoing.py
+++ b/gentianstair/peers/outgoing_messages.py
@@ -1,4 +1,4 @@
-"""Make the messages that a node sends to its peers."""
+"""Build the messages that a node sends to its peers."""
 
 import typing
 
@@ -8,8 +8,8 @@
 from gentianstair.peers import membership
 
 
-def hello(view: views.View, members: membership.Members) -> link.Message:
-    """Return the first message on a link: who this is, and what it has."""
+def make_hello(view: views.View, members: membership.Members) -> link.Message:
+    """Return the first message on a link: this VM and its digests."""
     return {
         'type': 'hello',
         'member': membership.to_message(members.own),
@@ -19,16 +19,16 @@
     }
 
 
-def beat(
+def make_heartbeat(
     now_s: float,
     view: views.View,
     freshness: freshness_module.Freshness,
     freshness_s: float,
     members_digest: int | None,
 ) -> link.Message:
-    """Return a heartbeat; news older than freshness_s are left out.
+    """Return a heartbeat, without ages that exceed freshness_s.
 
-    members_digest is None in most beats, as members seldom change.
+    members_digest is None in most heartbeats, as members seldom change.
     """
     found: link.Message = {
         'type': 'beat',
@@ -39,9 +39,9 @@
     age_s = freshness.age_s()
     if age_s is not None and age_s <= freshness_s:
         found['age_ms'] = int(age_s * 1000) + 1
-    outage_s = freshness.outage_age_s()
-    if outage_s is not None and 'age_ms' not in found:
-        found['outage_age_ms'] = int(outage_s * 1000) + 1
+    silence_s = freshness.store_silence_s()
+    if silence_s is not None and 'age_ms' not in found:
+        found['outage_age_ms'] = int(silence_s * 1000) + 1
     reached_s = freshness.reached_age_s()
     if reached_s is not None and reached_s <= freshness_s:
         found['reached'] = freshness.reached
@@ -51,15 +51,15 @@
     return found
 
 
-def members(found: typing.Iterable[membership.Member]) -> link.Message:
-    """Return what is known of some members."""
+def make_members(found: typing.Iterable[membership.Member]) -> link.Message:
+    """Return a message with members."""
     return {
         'type': 'members',
         'members': [membership.to_message(member) for member in found],
     }
 
 
-def listed(found: dict[str, membership.ListedState]) -> link.Message:
-    """Return what the platform's list says of VMs."""
+def make_listed(found: dict[str, membership.ListedState]) -> link.Message:
+    """Return a message with entries of the platform's list of VMs."""
     states = {name: entry._asdict() for name, entry in found.items()}
     return {'type': 'listed', 'states': states}
