--- a/gentianstair/entry/tries.py
+++ b/gentianstair/entry/attempts.py
@@ -14,11 +14,11 @@
 from gentianstair.entry import streams
 from gentianstair.generated import messages
 
-NO_UPSTREAM_RETRY_S = 1.0
-FAILED_RETRY_S = 1.0
+NO_UPSTREAM_RETRY_AFTER_S = 1.0
+UPSTREAM_FAILED_RETRY_AFTER_S = 1.0
 
 
-class Try(typing.NamedTuple):
+class Attempt(typing.NamedTuple):
     """One try at an upstream, and how it tells its progress.
 
     ``reader`` is the engine that is to read the prompt first, if another
@@ -28,11 +28,11 @@
     upstream: messages.UpstreamValue
     name: str
     first_token: collections.abc.Callable[[], None]
-    reader: messages.UpstreamValue | None = None
+    prefill_upstream: messages.UpstreamValue | None = None
 
 
-Attempt = collections.abc.Callable[
-    [Try], collections.abc.Awaitable[streams.Usage]
+RunAttempt = collections.abc.Callable[
+    [Attempt], collections.abc.Awaitable[streams.Usage]
 ]
 
 
@@ -62,7 +62,7 @@
     node: nodes.Node,
     request: requests.Request,
     choice: routing.Choice,
-    attempt: Attempt,
+    run_attempt: RunAttempt,
 ) -> streams.Usage:
     """Make one try and tell router and ejector how it went."""
     upstream = node.view.upstream(choice.upstream)
@@ -84,8 +84,8 @@
         reader = None
         if choice.prefill_upstream:
             reader = node.view.upstream(choice.prefill_upstream)
-        usage = await attempt(
-            Try(upstream, choice.upstream, first_token, reader)
+        usage = await run_attempt(
+            Attempt(upstream, choice.upstream, first_token, reader)
         )
     except errors.UpstreamError:
         failed = True
@@ -128,25 +128,29 @@
         'no-upstream',
         'no upstream can take the request now',
         verdict,
-        NO_UPSTREAM_RETRY_S,
+        NO_UPSTREAM_RETRY_AFTER_S,
     )
 
 
 def _final(error: errors.UpstreamError, verdict: verdicts.Verdict):
     return errors.RequestError(
-        502, 'upstream-failed', str(error), verdict, FAILED_RETRY_S
+        502,
+        'upstream-failed',
+        str(error),
+        verdict,
+        UPSTREAM_FAILED_RETRY_AFTER_S,
     )
 
 
 async def run(
     node: nodes.Node,
     request: requests.Request,
-    attempt: Attempt,
-    trying: set[str] | None = None,
+    run_attempt: RunAttempt,
+    in_use: set[str] | None = None,
 ) -> streams.Usage:
     """Return the usage once an upstream has completed the request.
 
-    trying holds the upstreams that a hedge of this request is at; a copy
+    in_use holds the upstreams that a hedge of this request is at; a copy
     goes to another one.
 
     Raise RequestError with the verdict of all tries together.
@@ -154,10 +158,10 @@
     verdict = verdicts.Verdict.NOT_RUN
     failed: set[str] = set()
     customer = request.caller.customer
-    trying = set() if trying is None else trying
+    in_use = set() if in_use is None else in_use
     made = 0
     while True:
-        choice = _choose(node, request, failed | trying)
+        choice = _choose(node, request, failed | in_use)
         if choice is None:
             _explain(node, request, 'no-upstream', failed=sorted(failed))
             raise _none_left(verdict)
@@ -165,9 +169,9 @@
         if made == 1:
             node.retries.budget.fresh(customer, choice.upstream)
         _explain(node, request, 'route', **choice._asdict())
-        trying.add(choice.upstream)
+        in_use.add(choice.upstream)
         try:
-            return await _one(node, request, choice, attempt)
+            return await _one(node, request, choice, run_attempt)
         except errors.UpstreamError as error:
             verdict = verdicts.combine(verdict, error.verdict)
             failed.add(choice.upstream)
@@ -191,5 +195,5 @@
             if not again.retry:
                 raise _final(error, verdict) from error
         finally:
-            trying.discard(choice.upstream)
+            in_use.discard(choice.upstream)
         await trio.sleep(again.wait_s)
--- a/gentianstair/entry/handler.py
+++ b/gentianstair/entry/handler.py
@@ -17,9 +17,9 @@
 from gentianstair.entry import completions
 from gentianstair.entry import node as nodes
 from gentianstair.entry import relay
+from gentianstair.entry import remote_prefill
 from gentianstair.entry import request as requests
 from gentianstair.entry import services
-from gentianstair.entry import split
 from gentianstair.entry import streams
 from gentianstair.entry import work as works
 from gentianstair.util import blocks
@@ -237,7 +237,7 @@
                 node, exchange, request, completion, model
             )
             usage = await streaming.run(
-                split.with_reader(
+                remote_prefill.with_remote_prefill(
                     node, request, completion, model, streaming.attempt
                 )
             )
@@ -245,7 +245,7 @@
         else:
             whole = relay.Whole(node, request, completion, model)
             usage = await whole.run(
-                split.with_reader(
+                remote_prefill.with_remote_prefill(
                     node, request, completion, model, whole.attempt
                 )
             )
--- a/gentianstair/entry/relay.py
+++ b/gentianstair/entry/relay.py
@@ -11,12 +11,12 @@
 from gentianstair import errors
 from gentianstair import verdict as verdicts
 from gentianstair.core import exchange as exchanges
+from gentianstair.entry import attempts
 from gentianstair.entry import callers
 from gentianstair.entry import completions
 from gentianstair.entry import node as nodes
 from gentianstair.entry import request as requests
 from gentianstair.entry import streams
-from gentianstair.entry import tries
 from gentianstair.upstreams import transport
 
 NOT_STARTED = 'x-not-started'
@@ -29,7 +29,7 @@
 
 def engine_request(
     request: requests.Request,
-    tried: tries.Try,
+    tried: attempts.Attempt,
     path: str,
     body: bytes,
 ) -> httpx.Request:
@@ -119,7 +119,7 @@
 def bill(
     node: nodes.Node,
     request: requests.Request,
-    tried: tries.Try,
+    tried: attempts.Attempt,
     usage: streams.Usage,
 ) -> None:
     """Count tokens for the request's customer and the upstream's kind."""
@@ -153,7 +153,7 @@
         self._billed = 0
         self.answer = streams.Answer(completion.wants_usage)
 
-    async def attempt(self, tried: tries.Try) -> streams.Usage:
+    async def attempt(self, tried: attempts.Attempt) -> streams.Usage:
         """Stream from one engine, going on after what was delivered."""
         node = self._node
         if self.answer.finished:
@@ -217,7 +217,7 @@
         self,
         found: httpx.Response,
         guard: Guard,
-        tried: tries.Try,
+        tried: attempts.Attempt,
         bill_part: collections.abc.Callable[[], None],
     ) -> None:
         answer = self.answer
@@ -237,7 +237,7 @@
                 bill_at += BILL_STEP_TOKENS
                 bill_part()
 
-    def _bill_part(self, tried: tries.Try) -> None:
+    def _bill_part(self, tried: attempts.Attempt) -> None:
         """Count what was delivered of an answer before its end.
 
         What is not counted is lost if this VM is killed, and a stream may
@@ -253,12 +253,12 @@
         used = streams.Usage(output_tokens=tokens)
         bill(self._node, self._request, tried, used)
 
-    async def run(self, attempt: tries.Attempt) -> streams.Usage:
+    async def run(self, attempt: attempts.RunAttempt) -> streams.Usage:
         """Stream the whole answer; raise RequestError if it can't be had.
 
         attempt is the method above, or one that goes around it.
         """
-        usage = await tries.run(self._node, self._request, attempt)
+        usage = await attempts.run(self._node, self._request, attempt)
         if not self._exchange.ended:
             await self._exchange.end(self.answer.ending())
         return usage
@@ -282,7 +282,7 @@
         self.content_type = JSON
         self.body = b''
 
-    async def attempt(self, tried: tries.Try) -> streams.Usage:
+    async def attempt(self, tried: attempts.Attempt) -> streams.Usage:
         """Take the whole answer of one engine."""
         node = self._node
         body = completions.engine_body(self._completion, self._model)
@@ -307,12 +307,12 @@
         bill(node, self._request, tried, usage)
         return usage
 
-    async def run(self, attempt: tries.Attempt) -> streams.Usage:
+    async def run(self, attempt: attempts.RunAttempt) -> streams.Usage:
         """Return the usage once status and body are set.
 
         attempt is the method above, or one that goes around it.
         """
-        return await tries.run(self._node, self._request, attempt)
+        return await attempts.run(self._node, self._request, attempt)
 
 
 def answer_headers(request: requests.Request) -> exchanges.Headers:
--- a/gentianstair/entry/split.py
+++ b/gentianstair/entry/remote_prefill.py
@@ -9,13 +9,13 @@
 
 from gentianstair import errors
 from gentianstair import verdict as verdicts
+from gentianstair.entry import attempts
 from gentianstair.entry import callers
 from gentianstair.entry import completions
 from gentianstair.entry import node as nodes
 from gentianstair.entry import relay
 from gentianstair.entry import request as requests
 from gentianstair.entry import streams
-from gentianstair.entry import tries
 
 HTTP_OK = 200
 
@@ -49,11 +49,11 @@
 
 
 async def _transfer(
-    node: nodes.Node, request: requests.Request, tried: tries.Try
+    node: nodes.Node, request: requests.Request, tried: attempts.Attempt
 ) -> None:
-    assert tried.reader is not None
+    assert tried.prefill_upstream is not None
     hashes = {'hashes': list(request.work.block_hashes)}
-    source_url = tried.reader['url']
+    source_url = tried.prefill_upstream['url']
     body = await _ask(
         node, httpx.Request('POST', f'{source_url}/kv/export', json=hashes)
     )
@@ -66,10 +66,10 @@
     await _ask(node, httpx.Request('POST', url, json=order))
 
 
-async def prepare(
+async def prefill(
     node: nodes.Node,
     request: requests.Request,
-    tried: tries.Try,
+    tried: attempts.Attempt,
     completion: completions.Completion,
     model: callers.Model,
 ) -> int:
@@ -78,9 +78,9 @@
     If any step fails the engine of the answer reads the prompt itself, so
     nothing is lost but time; the caller sees no difference.
     """
-    assert tried.reader is not None
+    assert tried.prefill_upstream is not None
     body = _reading_body(completion, model)
-    reading = tried._replace(upstream=tried.reader)
+    reading = tried._replace(upstream=tried.prefill_upstream)
     outgoing = relay.engine_request(request, reading, completion.path, body)
     try:
         answer = await _ask(node, outgoing)
@@ -102,26 +102,26 @@
         request.request_id,
         request.caller.customer,
         'split',
-        reader=tried.reader['url'],
+        reader=tried.prefill_upstream['url'],
         cached_tokens=usage.cached_tokens,
     )
     return usage.cached_tokens
 
 
-def with_reader(
+def with_remote_prefill(
     node: nodes.Node,
     request: requests.Request,
     completion: completions.Completion,
     model: callers.Model,
-    attempt: tries.Attempt,
-) -> tries.Attempt:
+    run_attempt: attempts.RunAttempt,
+) -> attempts.RunAttempt:
     """Return attempt, preceded by reading elsewhere where that is chosen."""
 
-    async def both(tried: tries.Try) -> streams.Usage:
-        if tried.reader is None:
-            return await attempt(tried)
-        cached = await prepare(node, request, tried, completion, model)
-        usage = await attempt(tried)
+    async def both(tried: attempts.Attempt) -> streams.Usage:
+        if tried.prefill_upstream is None:
+            return await run_attempt(tried)
+        cached = await prefill(node, request, tried, completion, model)
+        usage = await run_attempt(tried)
         # What the reader found tells how far its cache is known; what the
         # other engine found is what was just moved there.
         return usage._replace(cached_tokens=cached)
--- a/gentianstair/entry/routing.py
+++ b/gentianstair/entry/routing.py
@@ -4,8 +4,8 @@
 import typing
 
 from gentianstair.entry import estimates
+from gentianstair.entry import hash_ring
 from gentianstair.entry import prefix_index
-from gentianstair.entry import ring
 from gentianstair.entry import upstream_load
 from gentianstair.entry import upstream_state
 from gentianstair.entry import work as works
@@ -59,17 +59,17 @@
     decoders: list[str]
     prefillers: list[str]
     # Hash ring of the decoders.
-    ring: ring.Ring
+    ring: hash_ring.HashRing
 
 
 def _make_pool(vm_name: str, infos: list[UpstreamInfo]) -> _Pool:
     roles = {info.name: info.role for info in infos}
-    subset = ring.rendezvous(vm_name, roles, MAX_SUBSET)
+    subset = hash_ring.rendezvous_select(vm_name, roles, MAX_SUBSET)
     prefillers = [name for name in subset if roles[name] == 'prefill']
     decoders = [name for name in subset if roles[name] != 'prefill']
     # With no decoder at all, prefill engines serve whole requests.
     decoders = decoders or prefillers
-    return _Pool(subset, decoders, prefillers, ring.Ring(decoders))
+    return _Pool(subset, decoders, prefillers, hash_ring.HashRing(decoders))
 
 
 class Router:
@@ -153,7 +153,7 @@
             # All entry processes compute the same homes of a prefix, so it
             # is cached on few engines without any coordination.
             key = hashes[depth - 1] if depth else hashes[0]
-            names.update(dict.fromkeys(pool.ring.homes(key, MAX_HOMES)))
+            names.update(dict.fromkeys(pool.ring.lookup(key, MAX_HOMES)))
             if depth:
                 holders = list(self.index.holders(key))[-MAX_HOLDERS:]
                 names.update(
--- a/gentianstair/entry/services.py
+++ b/gentianstair/entry/services.py
@@ -11,13 +11,13 @@
 from gentianstair import errors
 from gentianstair import verdict as verdicts
 from gentianstair.core import exchange as exchanges
+from gentianstair.entry import attempts
 from gentianstair.entry import claim_shard
 from gentianstair.entry import claims as claimses
 from gentianstair.entry import node as nodes
 from gentianstair.entry import relay
 from gentianstair.entry import request as requests
 from gentianstair.entry import streams
-from gentianstair.entry import tries
 
 PREFIX = '/services/'
 HEDGES = prometheus_client.Counter(
@@ -184,7 +184,7 @@
         self._claim = claim
         self.reply: Reply | None = None
 
-    def _outgoing(self, tried: tries.Try) -> httpx.Request:
+    def _outgoing(self, tried: attempts.Attempt) -> httpx.Request:
         call = self._call
         headers = [
             *call.headers,
@@ -206,7 +206,7 @@
         if self._claim is not None:
             self._node.claims.check_sendable(self._claim)
 
-    async def attempt(self, tried: tries.Try) -> streams.Usage:
+    async def attempt(self, tried: attempts.Attempt) -> streams.Usage:
         """Make the call once."""
         outgoing = self._outgoing(tried)
         left_s = self._request.work.deadline_s - self._node.clock()
@@ -296,7 +296,7 @@
     trying: set[str] | None = None,
 ) -> Reply:
     made = Relay(node, request, call, claim)
-    await tries.run(node, request, made.attempt, trying)
+    await attempts.run(node, request, made.attempt, trying)
     assert made.reply is not None
     return made.reply
 
