--- a/gentianstair/control/main.py
+++ b/gentianstair/control/main.py
@@ -162,7 +162,7 @@
         await serving.serve(
             create_app(config, lease_manager),
             sock,
-            serving.wait_for_stop,
+            serving.wait_for_stop_signal,
             SHUTDOWN_GRACE_S,
         )
         loguru.logger.info(
--- a/gentianstair/entry/handler.py
+++ b/gentianstair/entry/handler.py
@@ -107,7 +107,7 @@
         connection = self._exchange.connection
         self._status = self._exchange.disconnect_status()
         if connection.is_closed_here:
-            self._explain('closed-here', why=connection.end.value)
+            self._explain('closed-here', why=connection.end_reason.value)
         else:
             self._explain('caller-gone', why=str(error))
 
--- a/gentianstair/entry/main.py
+++ b/gentianstair/entry/main.py
@@ -199,7 +199,7 @@
     leaving = trio.Event()
 
     async def leave() -> None:
-        await serving.wait_for_stop()
+        await serving.wait_for_stop_signal()
         loguru.logger.info('stopping: no new requests, running ones end')
         leaving.set()
         peer.leave()
--- a/gentianstair/gateway/handler.py
+++ b/gentianstair/gateway/handler.py
@@ -98,7 +98,7 @@
         connection = self._exchange.connection
         self._status = self._exchange.disconnect_status()
         # An HTTP/2 stream may be reset while its connection stays open.
-        end = connection.end or connections.End.STREAM_RESET
+        end = connection.end_reason or connections.EndReason.STREAM_RESET
         logger = loguru.logger.bind(
             end=end.value,
             closed_by=end.closed_by.value,
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -344,7 +344,7 @@
     env_settings: environment.EnvironmentSettings = environment.DEFAULTS,
 ) -> None:
     """Serve until stopped, then let running requests complete."""
-    stop_requested = serving.catch_stop()
+    stop_requested = serving.watch_stop_signals()
     live = deployment.LiveSettings(vm_settings)
     callers = serving.listen(vm_settings.callers_address)
     ready_sock = serving.listen(vm_settings.ready_address)
@@ -381,7 +381,7 @@
                 connection_grace_s(vm_settings.bounds.grace_s)
                 - BALANCER_DRAIN_S,
                 keep_alive_s=env_settings.keep_alive_s,
-                least_keep_alive_s=functools.partial(_idle_limit_s, node),
+                min_keep_alive_s=functools.partial(_idle_limit_s, node),
             )
             duty_nursery.cancel_scope.cancel()
         with trio.move_on_after(FINAL_WRITES_S / 2):
@@ -410,7 +410,9 @@
     loguru.logger.opt(exception=error).bind(
         event=events.ENDED,
         error=reason,
-        requests_cut=connections.requests_cut(connections.End.PROCESS_ENDED),
+        requests_cut=connections.count_cut(
+            connections.EndReason.PROCESS_ENDED
+        ),
     ).critical('the process exits on an unexpected error')
     writer.drain(LAST_LINE_TIMEOUT_S)
 
--- a/gentianstair/util/connections.py
+++ b/gentianstair/util/connections.py
@@ -12,7 +12,7 @@
 # Under this name a request's ASGI state holds its connection.
 STATE_KEY = 'gentianstair.connection'
 
-ENDED = prometheus_client.Counter(
+CONNECTIONS_ENDED = prometheus_client.Counter(
     'gentianstair_connections_ended',
     'Connections of callers by what ended them',
     ['end', 'under_way'],
@@ -26,29 +26,29 @@
     CALLER = 'the caller'
 
 
-class End(enum.Enum):
+class EndReason(enum.Enum):
     """What ended a connection."""
 
-    KEEP_ALIVE_OVER = 'keep-alive-over'
+    KEEP_ALIVE_EXPIRED = 'keep-alive-over'
     # A planned stop; the last answer had not said that it would close.
     STOP = 'stop'
-    GRACE_OVER = 'grace-over'
+    GRACE_EXPIRED = 'grace-over'
     # Cut with all others: the process ended, with no grace left to wait for.
     PROCESS_ENDED = 'process-ended'
-    CALLER_ENDED = 'caller-ended'
+    CALLER_CLOSED = 'caller-ended'
     CALLER_RESET = 'caller-reset'
     # One request of an HTTP/2 connection, which itself goes on.
     STREAM_RESET = 'stream-reset'
     SEND_STALL = 'send-stall'
-    NO_HANDSHAKE = 'no-handshake'
-    NO_HTTP = 'no-http'
+    HANDSHAKE_FAILED = 'no-handshake'
+    INVALID_HTTP = 'no-http'
     # Either side said so in HTTP/2, or it was broken.
-    HTTP2_OVER = 'http2-over'
-    AS_TOLD = 'as-told'
+    HTTP2_CLOSED = 'http2-over'
+    CLOSE_ANNOUNCED = 'as-told'
     # Answered before the request's body had been read.
     BODY_UNREAD = 'body-unread'
     # The application broke its answer off, so that it looks cut.
-    ANSWER_CUT = 'answer-cut'
+    RESPONSE_ABORTED = 'answer-cut'
     FAULT = 'fault'
 
     @property
@@ -58,7 +58,12 @@
 
 
 _BY_CALLER = frozenset(
-    {End.CALLER_ENDED, End.CALLER_RESET, End.STREAM_RESET, End.HTTP2_OVER}
+    {
+        EndReason.CALLER_CLOSED,
+        EndReason.CALLER_RESET,
+        EndReason.STREAM_RESET,
+        EndReason.HTTP2_CLOSED,
+    }
 )
 
 
@@ -66,94 +71,102 @@
     """One connection of a caller, from its first byte to its end."""
 
     __slots__ = (
-        'end',
+        'end_reason',
         'request_id',
-        'requests',
-        '_began_s',
+        'request_count',
+        '_request_began_s',
         '_ended_s',
         '_idle_since_s',
-        '_is_cut',
+        '_is_aborted',
         '_opened_s',
-        '_running',
-        '_under_way',
+        '_active_requests',
+        '_in_flight',
     )
 
     def __init__(self) -> None:
-        self.end: End | None = None
+        self.end_reason: EndReason | None = None
         # Of the last request, once it is known.
         self.request_id = ''
-        self.requests = 0
+        self.request_count = 0
         self._opened_s = self._idle_since_s = time.monotonic()
-        self._began_s = self._ended_s = self._opened_s
-        self._running = 0
-        self._under_way = False
-        self._is_cut = False
+        self._request_began_s = self._ended_s = self._opened_s
+        self._active_requests = 0
+        self._in_flight = False
+        self._is_aborted = False
 
     @property
-    def is_under_way(self) -> bool:
+    def has_request_in_flight(self) -> bool:
         """Return whether a request has no whole answer yet."""
-        return self._under_way
+        return self._in_flight
 
     @property
     def is_closed_here(self) -> bool:
         """Return whether this process is known to have closed it."""
-        return self.end is not None and self.end.closed_by is Side.PROCESS
+        return (
+            self.end_reason is not None
+            and self.end_reason.closed_by is Side.PROCESS
+        )
 
-    def read(self) -> None:
+    def note_head(self) -> None:
         """Note that the head of a request has been read."""
-        if not self._under_way:
-            self._began_s = time.monotonic()
+        if not self._in_flight:
+            self._request_began_s = time.monotonic()
 
-    def begin(self) -> None:
+    def note_request(self) -> None:
         """Note that the application has been given a request."""
-        self.requests += 1
+        self.request_count += 1
         self.request_id = ''
-        self._running += 1
-        self._under_way = True
+        self._active_requests += 1
+        self._in_flight = True
 
-    def leave(self, is_stream: bool) -> None:
+    def note_handler_exit(self, is_stream: bool) -> None:
         """Note that the application is done with a request.
 
         The protocol tells of whole answers, but not of a stream of HTTP/2
         that its caller has reset.
         """
-        self._running -= 1
-        if is_stream and self.end is None and not self._running:
-            self.answered()
+        self._active_requests -= 1
+        if is_stream and self.end_reason is None and not self._active_requests:
+            self.note_responses_sent()
 
-    def answered(self) -> None:
+    def note_responses_sent(self) -> None:
         """Note that all requests so far have their whole answers."""
-        if self._under_way and not self._is_cut:
-            self._under_way = False
+        if self._in_flight and not self._is_aborted:
+            self._in_flight = False
             self._idle_since_s = time.monotonic()
 
-    def note(self, end: End) -> None:
+    def note_end(self, end: EndReason) -> None:
         """Note what ends the connection; what is noted first stands."""
-        if self.end is None:
-            self.end = end
+        if self.end_reason is None:
+            self.end_reason = end
             self._ended_s = time.monotonic()
 
-    def cut(self, end: End) -> None:
+    def note_abort(self, end: EndReason) -> None:
         """Note an end after which no answer can become whole."""
-        self.note(end)
-        self._is_cut = True
+        self.note_end(end)
+        self._is_aborted = True
 
-    def fail(self, end: End) -> None:
+    def note_failure(self, end: EndReason) -> None:
         """Note what the connection's own task ended with.
 
         A fault cancels the connection's requests first, and they note that
         they were cut as if by a fault elsewhere.
         """
-        if end is End.FAULT and self.end is End.PROCESS_ENDED:
-            self.end = end
-        self.note(end)
-
-    def tell(self) -> None:
+        if (
+            end is EndReason.FAULT
+            and self.end_reason is EndReason.PROCESS_ENDED
+        ):
+            self.end_reason = end
+        self.note_end(end)
+
+    def report(self) -> None:
         """Count the end, and log it if a request was under way."""
         # Each way out of a connection's task notes an end.
-        end = self.end or End.FAULT
-        ENDED.labels(end.value, 'yes' if self._under_way else 'no').inc()
-        if not self._under_way:
+        end = self.end_reason or EndReason.FAULT
+        CONNECTIONS_ENDED.labels(
+            end.value, 'yes' if self._in_flight else 'no'
+        ).inc()
+        if not self._in_flight:
             return
         # The time under way is negative where the end was decided before
         # the request was read.
@@ -162,10 +175,10 @@
             request_id=self.request_id,
             end=end.value,
             closed_by=end.closed_by.value,
-            requests=self.requests,
+            requests=self.request_count,
             age_s=round(self._ended_s - self._opened_s, 3),
-            idle_s=round(self._began_s - self._idle_since_s, 3),
-            under_way_s=round(self._ended_s - self._began_s, 6),
+            idle_s=round(self._request_began_s - self._idle_since_s, 3),
+            under_way_s=round(self._ended_s - self._request_began_s, 6),
         ).info('a connection ended under a request: {}', end.value)
 
 
@@ -175,7 +188,7 @@
     return found if found is not None else Connection()
 
 
-def requests_cut(end: End) -> int:
+def count_cut(end: EndReason) -> int:
     """Return how many connections ended so under a request."""
     labels = {'end': end.value, 'under_way': 'yes'}
     name = 'gentianstair_connections_ended_total'
--- a/gentianstair/util/endings.py
+++ b/gentianstair/util/end_reasons.py
@@ -11,39 +11,39 @@
 from gentianstair.util import connections
 
 # Ends before which the last answer became whole.
-AFTER_ANSWER = frozenset(
+AFTER_RESPONSE = frozenset(
     {
-        connections.End.AS_TOLD,
-        connections.End.BODY_UNREAD,
-        connections.End.STOP,
+        connections.EndReason.CLOSE_ANNOUNCED,
+        connections.EndReason.BODY_UNREAD,
+        connections.EndReason.STOP,
     }
 )
 # Ends of all connections at once.
-_OF_ALL = frozenset(
-    {connections.End.GRACE_OVER, connections.End.PROCESS_ENDED}
+_ALL_CONNECTIONS = frozenset(
+    {connections.EndReason.GRACE_EXPIRED, connections.EndReason.PROCESS_ENDED}
 )
 
 
-def why_closing(protocol: typing.Any) -> connections.End:
+def reason_for_close(protocol: typing.Any) -> connections.EndReason:
     """Return why the library's protocol closes its connection."""
     if not isinstance(protocol, h11_protocol.H11Protocol):
-        return connections.End.HTTP2_OVER
+        return connections.EndReason.HTTP2_CLOSED
     ours = protocol.connection.our_state
     theirs = protocol.connection.their_state
     if theirs is h11.ERROR:
-        return connections.End.NO_HTTP
+        return connections.EndReason.INVALID_HTTP
     if ours in (h11.SEND_RESPONSE, h11.SEND_BODY, h11.ERROR):
-        return connections.End.ANSWER_CUT
+        return connections.EndReason.RESPONSE_ABORTED
     if ours is not h11.DONE:
-        return connections.End.AS_TOLD
+        return connections.EndReason.CLOSE_ANNOUNCED
     if theirs is h11.SEND_BODY:
-        return connections.End.BODY_UNREAD
-    return connections.End.STOP
+        return connections.EndReason.BODY_UNREAD
+    return connections.EndReason.STOP
 
 
-def why_raised(
+def reason_for_error(
     error: BaseException, grace: trio.CancelScope
-) -> connections.End:
+) -> connections.EndReason:
     """Return what ends a connection whose task ends with an error."""
     fault: BaseException | None = error
     if isinstance(error, BaseExceptionGroup):
@@ -52,28 +52,32 @@
         fault = None
     if fault is not None:
         return (
-            connections.End.ANSWER_CUT
+            connections.EndReason.RESPONSE_ABORTED
             if isinstance(fault, errors.GentianstairError)
-            else connections.End.FAULT
+            else connections.EndReason.FAULT
         )
     if trio.current_time() >= grace.deadline:
-        return connections.End.GRACE_OVER
-    return connections.End.PROCESS_ENDED
+        return connections.EndReason.GRACE_EXPIRED
+    return connections.EndReason.PROCESS_ENDED
 
 
-def _note_raised(
-    connection: connections.Connection, end: connections.End, is_http2: bool
+def _note_error(
+    connection: connections.Connection,
+    end: connections.EndReason,
+    is_http2: bool,
 ) -> None:
     """Note what ended a request's task before the answer was whole.
 
     Noted here, as the library answers 500 next and closes. Of HTTP/2 it
     closes the stream alone.
     """
-    if connection.is_under_way and (not is_http2 or end in _OF_ALL):
-        connection.cut(end)
+    if connection.has_request_in_flight and (
+        not is_http2 or end in _ALL_CONNECTIONS
+    ):
+        connection.note_abort(end)
 
 
-def note_requests(app: typing.Any, grace: trio.CancelScope) -> typing.Any:
+def track_requests(app: typing.Any, grace: trio.CancelScope) -> typing.Any:
     """Return the application, with its connections told of requests."""
 
     async def serve_one(
@@ -86,13 +90,13 @@
             return
         connection = connections.of_scope(scope)
         is_http2 = scope['http_version'] == '2'
-        connection.begin()
+        connection.note_request()
         try:
             await app(scope, receive, send)
         except BaseException as error:
-            _note_raised(connection, why_raised(error, grace), is_http2)
+            _note_error(connection, reason_for_error(error, grace), is_http2)
             raise
         finally:
-            connection.leave(is_http2)
+            connection.note_handler_exit(is_http2)
 
     return serve_one
--- a/gentianstair/util/serving.py
+++ b/gentianstair/util/serving.py
@@ -27,19 +27,19 @@
 from gentianstair.generated import events as log_events
 from gentianstair.util import addresses
 from gentianstair.util import connections
-from gentianstair.util import endings
+from gentianstair.util import end_reasons
 from gentianstair.util import http1
-from gentianstair.util import idleness
+from gentianstair.util import idle_timeout
 
 BACKLOG = 4096
 MAX_HEADER_BYTES = 32768
 KEEP_ALIVE_S = 75.0
 # Of the keep-alive time, told to callers: the rest is for a request of theirs
 # that is on its way by then.
-KEEP_ALIVE_TOLD_SHARE = 0.9
+ADVERTISED_KEEP_ALIVE_SHARE = 0.9
 # Longest wait of one part of an answer for a caller to take it.
 SEND_STALL_S = 10.0
-SEND_PART_BYTES = 65536
+SEND_CHUNK_BYTES = 65536
 # Kept small, or a caller that reads slowly would have megabytes to take
 # before the kernel lets the next part in, and look as if it had stopped.
 SEND_BUFFER_BYTES = 131072
@@ -80,7 +80,7 @@
     return bool(poll.poll(0))
 
 
-class _Server(tcp_server.TCPServer):
+class _ConnectionServer(tcp_server.TCPServer):
     """A connection that its own reader ends, and whose writes are cheap.
 
     The library's own write takes a lock and a shielded scope each time, a
@@ -104,15 +104,17 @@
         state = {**state, connections.STATE_KEY: self.connection}
         super().__init__(app, config, worker, state, stream)
         self._grace = grace
-        self._idleness = idleness.Idleness(config.kept_s, trio.current_time())
+        self._idle_timer = idle_timeout.IdleTimeout(
+            config.idle_timeout_s, trio.current_time()
+        )
         self._reader_scope = trio.CancelScope()
         self._receive_scope = trio.CancelScope()
         self._send_scope = trio.CancelScope()
 
     def stop(self) -> None:
         """End as soon as no request is under way, or with the grace."""
-        self._idleness.stop(trio.current_time())
-        self._receive_scope.deadline = self._idleness.end_s
+        self._idle_timer.stop(trio.current_time())
+        self._receive_scope.deadline = self._idle_timer.deadline_s
         self._send_scope.deadline = min(
             self._send_scope.deadline, self._grace.deadline
         )
@@ -143,46 +145,49 @@
         """Return what came, nothing at its end, None if none can come."""
         while True:
             self._receive_scope = trio.CancelScope(
-                deadline=self._idleness.end_s
+                deadline=self._idle_timer.deadline_s
             )
             with self._receive_scope:
                 return await self._receive_some()
-            if self._idleness.is_over(trio.current_time()) and self._leave():
+            if (
+                self._idle_timer.has_expired(trio.current_time())
+                and self._end_reading_if_idle()
+            ):
                 return None
 
     async def _receive_some(self) -> bytes | None:
         try:
             data = await self.stream.receive_some(tcp_server.MAX_RECV)
         except trio.BrokenResourceError:
-            self.connection.note(connections.End.CALLER_RESET)
+            self.connection.note_end(connections.EndReason.CALLER_RESET)
             return None
         except trio.ClosedResourceError:
             # Closed here; noted where that was decided.
             return None
         if not data:
-            self.connection.note(connections.End.CALLER_ENDED)
+            self.connection.note_end(connections.EndReason.CALLER_CLOSED)
         return bytes(data)
 
-    def _leave(self) -> bool:
+    def _end_reading_if_idle(self) -> bool:
         """Read no further if nothing came; return whether that is so.
 
         Nothing may be awaited here: what comes in between would be lost.
         """
-        sock = self._socket()
+        sock = self._raw_socket()
         if _is_readable(sock):
-            self._idleness.wait_arrival(trio.current_time())
+            self._idle_timer.expect_request(trio.current_time())
             return False
-        self.connection.note(
-            connections.End.STOP
+        self.connection.note_end(
+            connections.EndReason.STOP
             if self.context.terminated.is_set()
-            else connections.End.KEEP_ALIVE_OVER
+            else connections.EndReason.KEEP_ALIVE_EXPIRED
         )
         with contextlib.suppress(OSError):
             # The caller learns at once that it has to connect anew.
             sock.shutdown(socket.SHUT_WR)
         return True
 
-    def _socket(self) -> trio.socket.SocketType:
+    def _raw_socket(self) -> trio.socket.SocketType:
         if isinstance(self.stream, trio.SSLStream):
             return self.stream.transport_stream.socket
         return self.stream.socket
@@ -193,41 +198,43 @@
         try:
             await super().run()
         except BaseException as error:
-            self.connection.fail(endings.why_raised(error, self._grace))
+            self.connection.note_failure(
+                end_reasons.reason_for_error(error, self._grace)
+            )
             raise
         else:
             # Stands where it was broken before it could be read.
-            self.connection.note(
-                connections.End.NO_HANDSHAKE
+            self.connection.note_end(
+                connections.EndReason.HANDSHAKE_FAILED
                 if self._fd is None
-                else connections.End.CALLER_RESET
+                else connections.EndReason.CALLER_RESET
             )
         finally:
-            self.connection.tell()
+            self.connection.report()
 
     def _note_progress(self, event: events.Updated) -> None:
         """Note a new request or a whole answer."""
         if event.idle:
-            self.connection.answered()
-            self._idleness.rest(trio.current_time())
+            self.connection.note_responses_sent()
+            self._idle_timer.response_sent(trio.current_time())
         else:
-            self.connection.read()
-            self._idleness.begin()
-        self._receive_scope.deadline = self._idleness.end_s
+            self.connection.note_head()
+            self._idle_timer.request_started()
+        self._receive_scope.deadline = self._idle_timer.deadline_s
 
     def _note_idle_http2(self) -> None:
         """Note that no stream is left; the library tells of answers only."""
         protocol = self.protocol.protocol
         if isinstance(protocol, h2_protocol.H2Protocol) and protocol.idle:
-            self._idleness.rest(trio.current_time())
-            self._receive_scope.deadline = self._idleness.end_s
+            self._idle_timer.response_sent(trio.current_time())
+            self._receive_scope.deadline = self._idle_timer.deadline_s
 
     def _note_closing(self) -> None:
         """Note why the protocol closes."""
-        end = endings.why_closing(self.protocol.protocol)
-        if end in endings.AFTER_ANSWER:
-            self.connection.answered()
-        self.connection.note(end)
+        end = end_reasons.reason_for_close(self.protocol.protocol)
+        if end in end_reasons.AFTER_RESPONSE:
+            self.connection.note_responses_sent()
+        self.connection.note_end(end)
 
     async def protocol_send(self, event: events.Event) -> None:
         if isinstance(event, events.Updated):
@@ -238,8 +245,8 @@
             # Quart cancels its request once the answer has been sent, and
             # with it what follows in the same task: the connection would
             # not be closed, and stay open.
-            until_s = self._send_until_s()
-            with trio.CancelScope(deadline=until_s, shield=True):
+            deadline_s = self._send_deadline_s()
+            with trio.CancelScope(deadline=deadline_s, shield=True):
                 await super().protocol_send(event)
             # It may wait behind this answer to read the next request.
             self._reader_scope.cancel()
@@ -263,41 +270,43 @@
 
     async def _write_all(self, data: bytes) -> None:
         async with self.send_lock:
-            end = connections.End.SEND_STALL
+            end = connections.EndReason.SEND_STALL
             try:
-                taken = await self._write_parts(data)
+                taken = await self._write_chunks(data)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 # Where it was closed here, that was noted before.
                 taken = False
-                end = connections.End.CALLER_RESET
+                end = connections.EndReason.CALLER_RESET
         if not taken:
-            self.connection.cut(end)
+            self.connection.note_abort(end)
             # Cut off in the middle, the answer cannot go on. Closing also
             # tells the application that the caller has gone.
             await trio.aclose_forcefully(self.stream)
             await self.protocol.handle(events.Closed())
             self._reader_scope.cancel()
 
-    def _send_until_s(self) -> float:
+    def _send_deadline_s(self) -> float:
         """Return how long a caller may take to read what is sent now."""
-        until_s = trio.current_time() + self.send_stall_s
-        return min(until_s, self._grace.deadline)
+        deadline_s = trio.current_time() + self.send_stall_s
+        return min(deadline_s, self._grace.deadline)
 
-    async def _write_parts(self, data: bytes) -> bool:
+    async def _write_chunks(self, data: bytes) -> bool:
         """Return whether the caller took each part in time."""
-        for start in range(0, len(data), SEND_PART_BYTES):
-            until_s = self._send_until_s()
-            self._send_scope = trio.CancelScope(deadline=until_s, shield=True)
+        for start in range(0, len(data), SEND_CHUNK_BYTES):
+            deadline_s = self._send_deadline_s()
+            self._send_scope = trio.CancelScope(
+                deadline=deadline_s, shield=True
+            )
             with self._send_scope:
                 await self.stream.send_all(
-                    data[start : start + SEND_PART_BYTES]
+                    data[start : start + SEND_CHUNK_BYTES]
                 )
             if self._send_scope.cancelled_caught:
                 return False
         return True
 
 
-async def _run_contained(server: _Server) -> None:
+async def _run_isolated(server: _ConnectionServer) -> None:
     """Serve a connection; a fault in it ends no other one.
 
     The library raises on bytes that it did not expect, and all connections
@@ -323,21 +332,21 @@
 class _Config(hypercorn.config.Config):
     """The library's settings, and what it says with each answer."""
 
-    least_keep_alive_s: collections.abc.Callable[[], float] | None = None
+    min_keep_alive_s: collections.abc.Callable[[], float] | None = None
 
-    def kept_s(self) -> float:
+    def idle_timeout_s(self) -> float:
         """Return how long a connection without a request is kept now."""
-        if self.least_keep_alive_s is None:
+        if self.min_keep_alive_s is None:
             return self.keep_alive_timeout
-        return max(self.keep_alive_timeout, self.least_keep_alive_s())
+        return max(self.keep_alive_timeout, self.min_keep_alive_s())
 
     def response_headers(self, protocol: str) -> list[tuple[bytes, bytes]]:
         """Return the headers that each answer bears, by its protocol."""
         headers = super().response_headers(protocol)
-        told_s = int(KEEP_ALIVE_TOLD_SHARE * self.kept_s())
-        if protocol == 'h11' and told_s:
+        advertised_s = int(ADVERTISED_KEEP_ALIVE_SHARE * self.idle_timeout_s())
+        if protocol == 'h11' and advertised_s:
             # A caller that comes back in time meets no close of ours.
-            headers.append((b'keep-alive', b'timeout=%d' % told_s))
+            headers.append((b'keep-alive', b'timeout=%d' % advertised_s))
         return headers
 
 
@@ -362,33 +371,35 @@
     context: ssl.SSLContext | None = None,
     send_stall_s: float = SEND_STALL_S,
     keep_alive_s: float | None = None,
-    least_keep_alive_s: collections.abc.Callable[[], float] | None = None,
+    min_keep_alive_s: collections.abc.Callable[[], float] | None = None,
 ) -> None:
     """Serve until shutdown returns, then until running answers ended.
 
     A caller that takes no part of its answer for send_stall_s is cut off, a
     connection without a request for keep_alive_s is closed. Without
-    keep_alive_s that is the default, or least_keep_alive_s if it is longer.
+    keep_alive_s that is the default, or min_keep_alive_s if it is longer.
     """
     config = _make_config(graceful_timeout_s, keep_alive_s or KEEP_ALIVE_S)
     if keep_alive_s is None:
-        config.least_keep_alive_s = least_keep_alive_s
+        config.min_keep_alive_s = min_keep_alive_s
     # Of all connections; its deadline is the end of the grace.
     grace = trio.CancelScope()
-    wrapped = app_wrappers.ASGIWrapper(endings.note_requests(app, grace))
+    wrapped = app_wrappers.ASGIWrapper(end_reasons.track_requests(app, grace))
     state: dict[str, typing.Any] = {}
     life = lifespan.Lifespan(wrapped, config, state)
     worker = worker_context.WorkerContext(None)
-    servers: set[_Server] = set()
+    servers: set[_ConnectionServer] = set()
 
     async def handle(stream: trio.abc.Stream) -> None:
-        server = _Server(wrapped, config, worker, state, stream, grace)
+        server = _ConnectionServer(
+            wrapped, config, worker, state, stream, grace
+        )
         server.send_stall_s = send_stall_s
         if worker.terminated.is_set():
             server.stop()
         servers.add(server)
         try:
-            await _run_contained(server)
+            await _run_isolated(server)
         finally:
             servers.discard(server)
 
@@ -418,7 +429,7 @@
         life_nursery.cancel_scope.cancel()
 
 
-def catch_stop() -> trio.Event:
+def watch_stop_signals() -> trio.Event:
     """Return what is set when this process is asked to stop.
 
     A second SIGTERM changes nothing: answers are still under way. A second
@@ -438,6 +449,6 @@
     return asked
 
 
-async def wait_for_stop() -> None:
+async def wait_for_stop_signal() -> None:
     """Return when this process is asked to stop."""
-    await catch_stop().wait()
+    await watch_stop_signals().wait()
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -15,7 +15,7 @@
     sock: socket.socket,
     shutdown: collections.abc.Callable[
         [], collections.abc.Awaitable[None]
-    ] = serving.wait_for_stop,
+    ] = serving.wait_for_stop_signal,
     graceful_timeout_s: float = 5.0,
 ) -> None:
     """Serve app on sock until shutdown returns; print the address first."""
--- a/test/core/test_slow_response_end.py
+++ b/test/core/test_slow_response_end.py
@@ -22,20 +22,24 @@
     read_delay_s, monkeypatch
 ):
     # Guards against a next request that is never read.
-    write_now = serving._Server._write_now
-    write_parts = serving._Server._write_parts
+    write_now = serving._ConnectionServer._write_now
+    write_chunks = serving._ConnectionServer._write_chunks
 
     def refuse_last_chunk(server, data):
         return 0 if data == LAST_CHUNK else write_now(server, data)
 
-    async def write_parts_late(server, data):
+    async def write_chunks_late(server, data):
         with trio.CancelScope(shield=True):
             # The time the caller takes to read the last part.
             await trio.sleep(read_delay_s)
-            return await write_parts(server, data)
-
-    monkeypatch.setattr(serving._Server, '_write_now', refuse_last_chunk)
-    monkeypatch.setattr(serving._Server, '_write_parts', write_parts_late)
+            return await write_chunks(server, data)
+
+    monkeypatch.setattr(
+        serving._ConnectionServer, '_write_now', refuse_last_chunk
+    )
+    monkeypatch.setattr(
+        serving._ConnectionServer, '_write_chunks', write_chunks_late
+    )
     sock = serving.listen('127.0.0.1:0')
     app = asgi.make_app(respond)
     async with trio.open_nursery() as nursery:
--- a/test/entry/test_cut_connections.py
+++ b/test/entry/test_cut_connections.py
@@ -11,7 +11,7 @@
 from gentianstair.entry import handler as handlers
 from gentianstair.util import connections
 
-End = connections.End
+EndReason = connections.EndReason
 
 
 async def gone(_):
@@ -25,10 +25,20 @@
 @pytest.mark.parametrize(
     ('route', 'end', 'steps', 'status'),
     [
-        (gone, End.CALLER_RESET, [('caller-gone', 'the caller hung up')], 499),
+        (
+            gone,
+            EndReason.CALLER_RESET,
+            [('caller-gone', 'the caller hung up')],
+            499,
+        ),
         (gone, None, [('caller-gone', 'the caller hung up')], 499),
-        (gone, End.KEEP_ALIVE_OVER, [('closed-here', 'keep-alive-over')], 444),
-        (gone, End.SEND_STALL, [('closed-here', 'send-stall')], 444),
+        (
+            gone,
+            EndReason.KEEP_ALIVE_EXPIRED,
+            [('closed-here', 'keep-alive-over')],
+            444,
+        ),
+        (gone, EndReason.SEND_STALL, [('closed-here', 'send-stall')], 444),
         (cancelled, None, [], 444),
     ],
 )
@@ -36,7 +46,7 @@
     # Guards against a close of our own that is told as a caller's going.
     connection = connections.Connection()
     if end is not None:
-        connection.note(end)
+        connection.note_end(end)
     scope = {
         'path': '/v1/completions',
         'method': 'POST',
--- a/test/gateway/test_cut_connections.py
+++ b/test/gateway/test_cut_connections.py
@@ -49,7 +49,7 @@
 
     async def close_here(self):
         (server,) = (s for s in self.servers if s.connection.request_id)
-        server.connection.note(connections.End.KEEP_ALIVE_OVER)
+        server.connection.note_end(connections.EndReason.KEEP_ALIVE_EXPIRED)
         await server.stream.aclose()
 
     async def outlast_grace_period(self):
@@ -73,13 +73,13 @@
 def servers(monkeypatch):
     """Collect the server of each connection."""
     servers_made = []
-    original_init = serving._Server.__init__
+    original_init = serving._ConnectionServer.__init__
 
     def make(self, *args):
         original_init(self, *args)
         servers_made.append(self)
 
-    monkeypatch.setattr(serving._Server, '__init__', make)
+    monkeypatch.setattr(serving._ConnectionServer, '__init__', make)
     return servers_made
 
 
@@ -172,7 +172,7 @@
     # Guards against a close by this process that is logged as a disconnect of
     # the caller.
     stop = trio.Event()
-    monkeypatch.setattr(serving, 'catch_stop', lambda: stop)
+    monkeypatch.setattr(serving, 'watch_stop_signals', lambda: stop)
     monkeypatch.setattr(main, 'BALANCER_DRAIN_S', 0.0)
     # Keep the request running past the grace period instead of ending it with
     # a response.
@@ -211,7 +211,7 @@
         for line in lines
         if line.get('event') in (events.CALLER_GONE, events.CLOSED_HERE)
     ]
-    side = connections.End(end).closed_by.value
+    side = connections.EndReason(end).closed_by.value
     assert logged_ends == ([(event, end, side)] if event else [])
     cut_lines = [
         (line['end'], line['closed_by'], line['requests'])
--- a/test/gateway/test_kept_connections.py
+++ b/test/gateway/test_kept_connections.py
@@ -107,7 +107,7 @@
     tmp_path, monkeypatch, last_first
 ):
     stop = trio.Event()
-    monkeypatch.setattr(serving, 'catch_stop', lambda: stop)
+    monkeypatch.setattr(serving, 'watch_stop_signals', lambda: stop)
     monkeypatch.setattr(main, 'BALANCER_DRAIN_S', 0.0)
     tracker = RequestTracker(monkeypatch)
     names = [f'turn-{turn}' for turn in range(TURNS)]
--- a/test/gateway/test_planned_stop.py
+++ b/test/gateway/test_planned_stop.py
@@ -16,7 +16,7 @@
 @pytest.fixture
 def stop(monkeypatch):
     found = trio.Event()
-    monkeypatch.setattr(serving, 'catch_stop', lambda: found)
+    monkeypatch.setattr(serving, 'watch_stop_signals', lambda: found)
     monkeypatch.setattr(main, 'BALANCER_DRAIN_S', 0.2)
     return found
 
--- a/test/util/test_connection_faults.py
+++ b/test/util/test_connection_faults.py
@@ -93,7 +93,7 @@
     async def fail(server):
         raise RuntimeError('a fault')
 
-    monkeypatch.setattr(serving._Server, place, fail)
+    monkeypatch.setattr(serving._ConnectionServer, place, fail)
     sock = serving.listen('127.0.0.1:0')
     app = asgi.make_app(answer_slowly)
     async with trio.open_nursery() as nursery:
--- a/test/util/test_connections.py
+++ b/test/util/test_connections.py
@@ -25,7 +25,7 @@
 FLOOD_PARTS = 300
 GET = b'GET %s HTTP/1.1\r\nhost: x\r\n\r\n'
 POST = b'POST %s HTTP/1.1\r\nhost: x\r\n%s\r\n\r\n'
-End = connections.End
+EndReason = connections.EndReason
 
 
 class Server:
@@ -47,7 +47,7 @@
                 {'end': end.value, 'under_way': under_way},
             )
             or 0
-            for end in End
+            for end in EndReason
             for under_way in ('yes', 'no')
         }
 
@@ -253,56 +253,60 @@
 
 
 CASES = {
-    'keep-alive': (keep_idle, End.KEEP_ALIVE_OVER, False),
-    'never-asked': (never_ask, End.KEEP_ALIVE_OVER, False),
-    'stop-idle': (be_idle_at_a_stop, End.STOP, False),
-    'stop-answered': (be_answered_after_a_stop, End.STOP, False),
-    'grace': (outlast_the_grace, End.GRACE_OVER, True),
-    'process-busy': (be_under_way_when_all_ends, End.PROCESS_ENDED, True),
-    'process-idle': (be_idle_when_all_ends, End.PROCESS_ENDED, False),
-    'half-close-idle': (stop_sending, End.CALLER_ENDED, False),
+    'keep-alive': (keep_idle, EndReason.KEEP_ALIVE_EXPIRED, False),
+    'never-asked': (never_ask, EndReason.KEEP_ALIVE_EXPIRED, False),
+    'stop-idle': (be_idle_at_a_stop, EndReason.STOP, False),
+    'stop-answered': (be_answered_after_a_stop, EndReason.STOP, False),
+    'grace': (outlast_the_grace, EndReason.GRACE_EXPIRED, True),
+    'process-busy': (
+        be_under_way_when_all_ends,
+        EndReason.PROCESS_ENDED,
+        True,
+    ),
+    'process-idle': (be_idle_when_all_ends, EndReason.PROCESS_ENDED, False),
+    'half-close-idle': (stop_sending, EndReason.CALLER_CLOSED, False),
     'half-close-busy': (
         functools.partial(stop_sending, path=b'/held'),
-        End.CALLER_ENDED,
+        EndReason.CALLER_CLOSED,
         True,
     ),
-    'reset-idle': (reset, End.CALLER_RESET, False),
+    'reset-idle': (reset, EndReason.CALLER_RESET, False),
     'reset-busy': (
         functools.partial(reset, path=b'/held'),
-        End.CALLER_RESET,
+        EndReason.CALLER_RESET,
         True,
     ),
-    'stall': (read_nothing, End.SEND_STALL, True),
-    'no-http': (b'\x16\x03\x01 what\r\n\r\n', End.NO_HTTP, False),
+    'stall': (read_nothing, EndReason.SEND_STALL, True),
+    'no-http': (b'\x16\x03\x01 what\r\n\r\n', EndReason.INVALID_HTTP, False),
     'no-http-in-body': (
         POST % (b'/held', b'transfer-encoding: chunked') + b'zz\r\nxx\r\n',
-        End.NO_HTTP,
+        EndReason.INVALID_HTTP,
         True,
     ),
     'asked-to-close': (
         POST % (b'/', b'content-length: 0\r\nconnection: close'),
-        End.AS_TOLD,
+        EndReason.CLOSE_ANNOUNCED,
         False,
     ),
-    'http-1.0': (b'GET / HTTP/1.0\r\n\r\n', End.AS_TOLD, False),
-    'last-request': (GET % b'/last', End.AS_TOLD, False),
+    'http-1.0': (b'GET / HTTP/1.0\r\n\r\n', EndReason.CLOSE_ANNOUNCED, False),
+    'last-request': (GET % b'/last', EndReason.CLOSE_ANNOUNCED, False),
     'body-unread': (
         POST % (b'/', b'content-length: 9'),
-        End.BODY_UNREAD,
+        EndReason.BODY_UNREAD,
         False,
     ),
-    'answer-cut': (GET % b'/cut', End.ANSWER_CUT, True),
-    'fault': (GET % b'/fault', End.FAULT, True),
-    'fault-midway': (GET % b'/fault-midway', End.FAULT, True),
-    'http-2-unasked': (speak_http2, End.HTTP2_OVER, False),
+    'answer-cut': (GET % b'/cut', EndReason.RESPONSE_ABORTED, True),
+    'fault': (GET % b'/fault', EndReason.FAULT, True),
+    'fault-midway': (GET % b'/fault-midway', EndReason.FAULT, True),
+    'http-2-unasked': (speak_http2, EndReason.HTTP2_CLOSED, False),
     'http-2-answered': (
         functools.partial(speak_http2, path='/'),
-        End.HTTP2_OVER,
+        EndReason.HTTP2_CLOSED,
         False,
     ),
     'http-2-busy': (
         functools.partial(speak_http2, path='/held'),
-        End.HTTP2_OVER,
+        EndReason.HTTP2_CLOSED,
         True,
     ),
     'http-2-reset': (
@@ -311,12 +315,12 @@
             path='/held',
             then=h2.connection.H2Connection.reset_stream,
         ),
-        End.HTTP2_OVER,
+        EndReason.HTTP2_CLOSED,
         False,
     ),
     'http-2-fault': (
         functools.partial(speak_http2, path='/fault-midway'),
-        End.HTTP2_OVER,
+        EndReason.HTTP2_CLOSED,
         False,
     ),
 }
@@ -356,7 +360,7 @@
     own, monkeypatch
 ):
     # Guards against a fault that ends others, or shows as a hang-up.
-    handle = serving._Server._receive
+    handle = serving._ConnectionServer._receive
 
     async def receive(self):
         data = await handle(self)
@@ -364,42 +368,42 @@
             raise RuntimeError('planted')
         return data
 
-    monkeypatch.setattr(serving._Server, '_receive', receive)
+    monkeypatch.setattr(serving._ConnectionServer, '_receive', receive)
     async with running() as server:
         async with await server.open(GET % b'/held') as stream:
             await arrived(stream)
             async with await server.open() as other:
                 await (stream if own else other).send_all(b'fault')
                 await server.ended()
-                assert server.counted() == {(End.FAULT, own): 1}
+                assert server.counted() == {(EndReason.FAULT, own): 1}
         await server.ended(2)
     assert server.counted() == {
-        (End.FAULT, own): 1,
-        (End.CALLER_ENDED, not own): 1,
+        (EndReason.FAULT, own): 1,
+        (EndReason.CALLER_CLOSED, not own): 1,
     }
 
 
 async def test_a_close_of_our_own_under_a_request_names_it(monkeypatch):
     # Guards against a request that is lost with nothing to find it by.
     servers = []
-    made = serving._Server.__init__
+    made = serving._ConnectionServer.__init__
 
     def make(self, *args):
         made(self, *args)
         servers.append(self)
 
-    monkeypatch.setattr(serving._Server, '__init__', make)
+    monkeypatch.setattr(serving._ConnectionServer, '__init__', make)
     async with running() as server:
         stream = await server.open(GET % b'/')
         await answered(stream)
         await trio.sleep(0.2)
         await stream.send_all(GET % b'/held')
         await arrived(stream)
-        servers[0].connection.note(End.KEEP_ALIVE_OVER)
+        servers[0].connection.note_end(EndReason.KEEP_ALIVE_EXPIRED)
         await servers[0].stream.aclose()
         await drain(stream)
         await server.ended()
-    assert server.counted() == {(End.KEEP_ALIVE_OVER, True): 1}
+    assert server.counted() == {(EndReason.KEEP_ALIVE_EXPIRED, True): 1}
     (line,) = server.lines
     assert line['request_id'] == 'r1'
     assert line['closed_by'] == 'this process'
@@ -415,21 +419,21 @@
         async with await server.open(data):
             pass
         await server.ended()
-    assert server.counted() == {(End.NO_HANDSHAKE, False): 1}
+    assert server.counted() == {(EndReason.HANDSHAKE_FAILED, False): 1}
 
 
 def noted(*ends):
     found = connections.Connection()
     for end in ends:
-        found.note(end)
-    return found.end
+        found.note_end(end)
+    return found.end_reason
 
 
-@pytest.mark.parametrize('first', End)
+@pytest.mark.parametrize('first', EndReason)
 async def test_the_first_end_stands(first):
-    assert noted(first, *End) is first
+    assert noted(first, *EndReason) is first
 
 
 async def test_a_scope_without_a_connection_has_one_of_its_own():
     # Guards against a failure under another server, which sets no state.
-    assert connections.of_scope({'type': 'http'}).end is None
+    assert connections.of_scope({'type': 'http'}).end_reason is None
--- a/test/util/test_grace_bound.py
+++ b/test/util/test_grace_bound.py
@@ -44,7 +44,7 @@
 async def test_a_fault_at_the_end_of_the_grace_stays_in_it(place, monkeypatch):
     # It came in a group with the cancelling, and serving raised it.
     entered = trio.Event()
-    library = getattr(serving._Server, place)
+    library = getattr(serving._ConnectionServer, place)
 
     async def fail(server):
         entered.set()
@@ -60,7 +60,7 @@
         finally:
             await trio.lowlevel.cancel_shielded_checkpoint()
 
-    monkeypatch.setattr(serving._Server, place, fail)
+    monkeypatch.setattr(serving._ConnectionServer, place, fail)
     stop = trio.Event()
     sock = serving.listen('127.0.0.1:0')
     async with trio.open_nursery() as nursery:
