--- a/gentianstair/control/engine_orders.py
+++ b/gentianstair/control/engine_orders.py
@@ -18,8 +18,8 @@
 from gentianstair.store import store as stores
 from gentianstair.upstreams import orders_client
 from gentianstair.util import audit
-from gentianstair.util import checked_call
 from gentianstair.util import clock as clocks
+from gentianstair.util import leased_call
 
 KIND = 'engine-order'
 PURPOSE = 'order'
@@ -53,7 +53,7 @@
         self,
         url: str,
         order: orders_client.Order,
-        check: checked_call.Check,
+        check: leased_call.LeaseCheck,
     ) -> orders_client.Outcome:
         """See OrdersClient.send."""
 
@@ -143,7 +143,7 @@
                 # The order has its outcome by now. If this write is lost, the
                 # record still names the audit entry.
                 with contextlib.suppress(errors.StoreError):
-                    await audit.conclude(
+                    await audit.record_outcome(
                         self._store, entry_name, audit_outcome
                     )
         return outcome
--- a/gentianstair/control/planning.py
+++ b/gentianstair/control/planning.py
@@ -56,11 +56,11 @@
         rows = {}
         for item in listing.objects:
             value = msgspec.convert(item.value, messages.UsageValue)
-            rows[item.name] = usage_rows.by_key(value['rows'])
+            rows[item.name] = usage_rows.sum_by_key(value['rows'])
             last_rows = self._last_rows.get(item.name, {})
             for key, row in rows[item.name].items():
-                added = usage_rows.minus(row, last_rows.get(key))
-                for index, name in enumerate(usage_rows.COUNTS):
+                added = usage_rows.subtract(row, last_rows.get(key))
+                for index, name in enumerate(usage_rows.COUNT_FIELDS):
                     counts[index] += added[name]
         last_read_s = self._last_read_s
         self._last_rows, self._last_read_s = rows, now_s
--- a/gentianstair/control/upstream_orders.py
+++ b/gentianstair/control/upstream_orders.py
@@ -91,7 +91,7 @@
             version = await self._write(authority, value, version)
             await self._send(authority, value, version)
             with contextlib.suppress(errors.StoreError):
-                await audit.conclude(
+                await audit.record_outcome(
                     self._store, value['change'], audit.Outcome.DONE
                 )
             return value['token']
--- a/gentianstair/control/usage_sealer.py
+++ b/gentianstair/control/usage_sealer.py
@@ -270,10 +270,10 @@
     accounted: dict[str, list[messages.UsageRow]] = {}
     for item in listing.objects:
         value = msgspec.convert(item.value, messages.UsageValue)
-        known = usage_rows.by_key(accounted_before.get(item.name, []))
+        known = usage_rows.sum_by_key(accounted_before.get(item.name, []))
         counted = [row for row in value['rows'] if row['window'] <= window]
         for row in counted:
-            added = usage_rows.minus(row, known.get(usage_rows.key_of(row)))
+            added = usage_rows.subtract(row, known.get(usage_rows.key_of(row)))
             if usage_rows.is_empty(added):
                 continue
             (rows if row['window'] == window else late).append(added)
@@ -282,10 +282,10 @@
         'window': window,
         'revision': listing.revision,
         'rows': sorted(
-            usage_rows.by_key(rows).values(), key=usage_rows.key_of
+            usage_rows.sum_by_key(rows).values(), key=usage_rows.key_of
         ),
         'late': sorted(
-            usage_rows.by_key(late).values(), key=usage_rows.key_of
+            usage_rows.sum_by_key(late).values(), key=usage_rows.key_of
         ),
         'accounted': accounted,
         'nonce': settled.new_nonce(),
--- a/gentianstair/entry/handler.py
+++ b/gentianstair/entry/handler.py
@@ -22,7 +22,7 @@
 from gentianstair.entry import split
 from gentianstair.entry import streams
 from gentianstair.entry import work as works
-from gentianstair.util import blocks
+from gentianstair.util import prefix_hashing
 
 _REQUEST_ID = re.compile(r'[A-Za-z0-9._-]{1,64}')
 NOT_FRESH_RETRY_S = 1.0
@@ -175,7 +175,7 @@
             completion.max_tokens,
             deadline_s,
             completion.priority,
-            blocks.block_hashes(words, salt),
+            prefix_hashing.block_hashes(words, salt),
         )
 
     async def _complete(
--- a/gentianstair/entry/main.py
+++ b/gentianstair/entry/main.py
@@ -187,7 +187,7 @@
         config.listen,
         config.insecure_plain,
     )
-    tls.check_plain(
+    tls.check_plaintext_allowed(
         config.operator_listen, config.insecure_plain, '--operator-listen'
     )
     sock = serving.listen(config.listen, reuse_port=True)
@@ -232,7 +232,7 @@
         )
         print(f'listening {host}:{port} {operator_port}', flush=True)
         if credentials:
-            nursery.start_soon(credentials.run)
+            nursery.start_soon(credentials.watch_files)
         await serving.serve(
             apps.create_app(node, leaving),
             sock,
--- a/gentianstair/entry/usage.py
+++ b/gentianstair/entry/usage.py
@@ -100,7 +100,7 @@
         }
         key = usage_rows.key_of(row)
         known = self._rows.get(key)
-        self._rows[key] = row if known is None else usage_rows.plus(known, row)
+        self._rows[key] = row if known is None else usage_rows.add(known, row)
         self.changed = True
         self.unflushed_tokens += prompt_tokens + output_tokens
         EXPOSED_TOKENS.set(self.unflushed_tokens)
@@ -193,7 +193,7 @@
 
     def _keep_above(self, written: dict) -> None:
         left = {
-            key: usage_rows.minus(row, written.get(key))
+            key: usage_rows.subtract(row, written.get(key))
             for key, row in self._rows.items()
         }
         self._rows = {
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -53,7 +53,7 @@
 from gentianstair.util import line_writer
 from gentianstair.util import logs
 from gentianstair.util import serving
-from gentianstair.util import steady_wall
+from gentianstair.util import steady_wall_clock
 
 # How long new connections are accepted after a stop is requested. The load
 # balancer checks readiness each second and needs two failures to notice.
@@ -92,7 +92,7 @@
     now = clock.boottime_s
     store = objects.connect(vm_settings.store_address, vm_settings.vm)
     bounds = vm_settings.bounds
-    wall_clock = steady_wall.SteadyWall(time.time, now)
+    wall_clock = steady_wall_clock.SteadyWallClock(time.time, now)
     counts = usage_counter.UsageCounter(wall_clock, bounds.usage_window_s)
     name = f'{vm_settings.vm}.{settled.new_nonce()}'
     record = memberships.Record(
@@ -406,7 +406,7 @@
     """
     reason = '; '.join(f'{type(e).__name__}: {e}' for e in _leaf_errors(error))
     writer.drain(LAST_LINE_TIMEOUT_S)
-    writer.admit_last()
+    writer.allow_one_line()
     loguru.logger.opt(exception=error).bind(
         event=events.ENDED,
         error=reason,
--- a/gentianstair/peers/link.py
+++ b/gentianstair/peers/link.py
@@ -237,7 +237,7 @@
 
         async with trio.open_nursery() as nursery:
             if self._credentials:
-                nursery.start_soon(self._credentials.run)
+                nursery.start_soon(self._credentials.watch_files)
             await websockets.trio.server.serve(
                 accept,
                 listeners=listeners,
@@ -257,14 +257,14 @@
     Raise SettingsError when links would be plain beyond loopback without
     insecure_plain, or when the TLS files do not load.
     """
-    files = tls.Files(
+    files = tls.CertificateFiles(
         settings.peer_tls_cert_file,
         settings.peer_tls_key_file,
         settings.peer_tls_ca_file,
     )
     credentials = tls.make_peer_credentials(files)
     if credentials is None:
-        tls.check_plain(
+        tls.check_plaintext_allowed(
             settings.peer_listen, settings.insecure_plain, '--peer-listen'
         )
     return WebsocketNetwork(settings.peer_listen, credentials)
--- a/gentianstair/platform/cloud.py
+++ b/gentianstair/platform/cloud.py
@@ -5,7 +5,7 @@
 from gentianstair import errors
 from gentianstair import verdict as verdicts
 from gentianstair.control import lease
-from gentianstair.util import checked_call
+from gentianstair.util import leased_call
 
 # The call is dropped when it was not delivered for this long. It must be
 # well below what is left of a lease that was just renewed, and many times
@@ -59,7 +59,7 @@
         path: str,
         body: collections.abc.Mapping,
     ) -> None:
-        answer = await checked_call.call(
+        answer = await leased_call.call(
             f'http://{self._address}{path}',
             'POST',
             body,
--- a/gentianstair/store/checked_sender.py
+++ b/gentianstair/store/checked_sender.py
@@ -4,16 +4,16 @@
 
 from gentianstair import errors
 from gentianstair import verdict
-from gentianstair.util import checked_call
+from gentianstair.util import leased_call
 
 
 class Sender(typing.Protocol):
     """What sends a body to one interface of the platform."""
 
     async def send(
-        self, body: dict[str, typing.Any], check: checked_call.Check
+        self, body: dict[str, typing.Any], check: leased_call.LeaseCheck
     ) -> None:
-        """Send a body; raise as checked_call.call does."""
+        """Send a body; raise as leased_call.call does."""
 
 
 class HttpSender:
@@ -25,10 +25,10 @@
         self._timeout_s = timeout_s
 
     async def send(
-        self, body: dict[str, typing.Any], check: checked_call.Check
+        self, body: dict[str, typing.Any], check: leased_call.LeaseCheck
     ) -> None:
         """See Sender.send."""
-        answer = await checked_call.call(
+        answer = await leased_call.call(
             self._url,
             'POST',
             body,
--- a/gentianstair/ui/change.py
+++ b/gentianstair/ui/change.py
@@ -75,7 +75,7 @@
     entry = audit.make_entry(
         session.actor, action, f'{kind}/{name}', item.value, wanted
     )
-    entry_name = audit.make_name(entry)
+    entry_name = audit.make_entry_name(entry)
     value = {**wanted, 'change': entry_name}
     await audit.record(client, entry, entry_name)
     try:
@@ -100,7 +100,7 @@
     # not turn it into a failure; the entry stays open and is settled by its
     # name in the object when the trail is read.
     with contextlib.suppress(errors.StoreError):
-        await audit.conclude(client, entry_name, outcome, version)
+        await audit.record_outcome(client, entry_name, outcome, version)
 
 
 def create(value: store.Value, what: str) -> Edit:
--- a/gentianstair/ui/commands/explain.py
+++ b/gentianstair/ui/commands/explain.py
@@ -77,20 +77,22 @@
             rows = stories.of_dependencies(reader, command.since or '')
     if not rows:
         raise errors.UserError(
-            f'nothing found in {reader.read} lines, '
-            f'{reader.unreadable} of them unreadable'
+            f'nothing found in {reader.line_count} lines, '
+            f'{reader.unreadable_count} of them unreadable'
         )
     if session.out.as_json:
         session.out.value(
             {
                 'rows': [row._asdict() for row in rows],
-                'lines': reader.read,
-                'unreadable': reader.unreadable,
+                'lines': reader.line_count,
+                'unreadable': reader.unreadable_count,
             }
         )
         return
     session.out.rows(stories.Row._fields, [row._asdict() for row in rows])
-    session.out.line(f'{reader.read} lines, {reader.unreadable} unreadable')
+    session.out.line(
+        f'{reader.line_count} lines, {reader.unreadable_count} unreadable'
+    )
 
 
 @sessions.run.register
--- a/gentianstair/ui/commands/losses.py
+++ b/gentianstair/ui/commands/losses.py
@@ -85,8 +85,8 @@
     rows = table.rows()
     if not rows:
         raise errors.UserError(
-            f'no answered request in {reader.read} lines, '
-            f'{reader.unreadable} of them unreadable'
+            f'no answered request in {reader.line_count} lines, '
+            f'{reader.unreadable_count} of them unreadable'
         )
     worst = windows.worst(WORST_WINDOWS)
     if session.out.as_json:
@@ -94,8 +94,8 @@
             {
                 'rows': [row._asdict() for row in rows],
                 'worst_windows': [window._asdict() for window in worst],
-                'lines': reader.read,
-                'unreadable': reader.unreadable,
+                'lines': reader.line_count,
+                'unreadable': reader.unreadable_count,
                 'forgotten': judge.forgotten,
             }
         )
@@ -105,6 +105,6 @@
     session.out.line(f'the worst spans of {losses.WINDOW_S:g} s')
     session.out.rows(losses.Window._fields, [w._asdict() for w in worst])
     session.out.line(
-        f'{reader.read} lines, {reader.unreadable} unreadable,'
+        f'{reader.line_count} lines, {reader.unreadable_count} unreadable,'
         f' {judge.forgotten} requests forgotten before their end'
     )
--- a/gentianstair/upstreams/orders_client.py
+++ b/gentianstair/upstreams/orders_client.py
@@ -9,7 +9,7 @@
 from gentianstair import errors
 from gentianstair import verdict
 from gentianstair.generated import messages
-from gentianstair.util import checked_call
+from gentianstair.util import leased_call
 
 
 class Outcome(enum.Enum):
@@ -44,10 +44,10 @@
         self._timeout_s = timeout_s
 
     async def send(
-        self, url: str, order: Order, check: checked_call.Check
+        self, url: str, order: Order, check: leased_call.LeaseCheck
     ) -> Outcome:
-        """Send an order; raise as checked_call.call does."""
-        answer = await checked_call.call(
+        """Send an order; raise as leased_call.call does."""
+        answer = await leased_call.call(
             f'{url}/orders',
             'POST',
             order._asdict(),
--- a/gentianstair/util/audit.py
+++ b/gentianstair/util/audit.py
@@ -26,9 +26,9 @@
 NOT_DONE = 'not done'
 CREATE_TRIES = 3
 # More hours than this are listed by day, more days in one call.
-MAX_LISTS = 40
+MAX_LIST_CALLS = 40
 # A write still under way is certainly settled after this long.
-SETTLE_S = 60.0
+MAX_WRITE_S = 60.0
 
 
 class Outcome(enum.StrEnum):
@@ -67,7 +67,7 @@
     }
 
 
-def make_name(entry: messages.AuditValue) -> str:
+def make_entry_name(entry: messages.AuditValue) -> str:
     """Return a new name; names sort by time, to the authors' clocks."""
     stamp = entry['at'].replace('-', '').replace(':', '')
     return f'{stamp}-{secrets.token_hex(6)}'
@@ -100,12 +100,12 @@
     Raise StoreUnavailableError or StoreUnknownError; the caller must then
     not go on to make the change.
     """
-    name = name or make_name(entry)
+    name = name or make_entry_name(entry)
     await _create(client, KIND, name, entry)
     return name
 
 
-async def conclude(
+async def record_outcome(
     client: store.Store, name: str, outcome: Outcome, version: int = 0
 ) -> None:
     """Record how the change of an entry ended.
@@ -144,14 +144,14 @@
     last = datetime.datetime.now(datetime.UTC) + hour
     for unit, form in ((hour, '%Y%m%dT%H'), (24 * hour, '%Y%m%d')):
         count = int((last - first) / unit) + 1
-        if count <= MAX_LISTS:
+        if count <= MAX_LIST_CALLS:
             times = [first + unit * step for step in range(count)]
             found = [time_.strftime(form) for time_ in (*times, last)]
             return sorted(set(found))
     return ['']
 
 
-async def _list(
+async def _list_objects(
     client: store.Store, kind: str, prefixes: list[str]
 ) -> dict[str, store.Value]:
     found: dict[str, store.Value] = {}
@@ -164,8 +164,8 @@
 async def read(client: store.Store, since: datetime.datetime) -> list[Record]:
     """Return the entries since then, oldest first."""
     prefixes = _prefixes(since)
-    entries = await _list(client, KIND, prefixes)
-    outcomes = await _list(client, OUTCOME_KIND, prefixes)
+    entries = await _list_objects(client, KIND, prefixes)
+    outcomes = await _list_objects(client, OUTCOME_KIND, prefixes)
     first = timestamp(since)
     records = []
     for name in sorted(entries):
@@ -174,16 +174,16 @@
             continue
         outcome = outcomes.get(name, {}).get('outcome')
         if outcome in (None, Outcome.UNKNOWN):
-            outcome = await _settle(client, name, entry, entries)
+            outcome = await _infer_outcome(client, name, entry, entries)
         records.append(Record(name, entry, outcome))
     return records
 
 
-def _mark(value: store.Value | None) -> str | None:
+def _entry_name_in(value: store.Value | None) -> str | None:
     return value.get('change') if value else None
 
 
-async def _settle(
+async def _infer_outcome(
     client: store.Store,
     name: str,
     entry: messages.AuditValue,
@@ -197,7 +197,7 @@
         for later in entries.values()
         if later['target'] == entry['target'] and later is not entry
     ]
-    ours = [value for value in seen if _mark(value) == name]
+    ours = [value for value in seen if _entry_name_in(value) == name]
     if ours and kind not in ORDER_KINDS:
         return Outcome.DONE.value
     if ours:
@@ -205,7 +205,9 @@
     age_s = time.time() - _unix_time_s(entry['at'])
     # Somebody found the object as it was before this change, and nobody
     # found it as it was after.
-    if age_s > SETTLE_S and _mark(entry['before']) in map(_mark, seen):
+    if age_s > MAX_WRITE_S and _entry_name_in(entry['before']) in map(
+        _entry_name_in, seen
+    ):
         return NOT_DONE
     return Outcome.UNKNOWN.value
 
@@ -230,9 +232,9 @@
     'OUTCOME_KIND',
     'Outcome',
     'Record',
-    'conclude',
+    'record_outcome',
     'make_entry',
-    'make_name',
+    'make_entry_name',
     'read',
     'record',
     'timestamp',
--- a/gentianstair/util/checked_call.py
+++ b/gentianstair/util/leased_call.py
@@ -13,22 +13,22 @@
 
 from gentianstair import errors
 from gentianstair import verdict
-from gentianstair.util import deadman
+from gentianstair.util import watchdog
 
 READ_BYTES = 65536
-MAX_ANSWER_BYTES = 262144
+MAX_RESPONSE_BYTES = 262144
 # Closing with this option drops what the kernel has not delivered yet.
 _RESET_ON_CLOSE = struct.pack('ii', 1, 0)
 
 # Longest time between the two looks at the clock around starting the timer.
-ARM_S = 0.05
+TIMER_MARGIN_S = 0.05
 
 # Returns for how many seconds the call may still be sent; raises
 # LeaseLostError when it may not be sent any more.
-Check = collections.abc.Callable[[], float]
+LeaseCheck = collections.abc.Callable[[], float]
 
 
-class Answer(typing.NamedTuple):
+class Response(typing.NamedTuple):
     """The status and the JSON body of an answer."""
 
     status: int
@@ -49,7 +49,7 @@
     return sock
 
 
-def _request_bytes(
+def _encode_request(
     connection: h11.Connection,
     method: str,
     parts: urllib.parse.SplitResult,
@@ -72,9 +72,9 @@
     return data + connection.send(h11.EndOfMessage())
 
 
-async def _read_answer(
+async def _read_response(
     connection: h11.Connection, wrapped: trio.socket.SocketType
-) -> Answer:
+) -> Response:
     status = 0
     content = b''
     while True:
@@ -85,15 +85,15 @@
             status = event.status_code
         elif isinstance(event, h11.Data):
             content += event.data
-            if len(content) > MAX_ANSWER_BYTES:
+            if len(content) > MAX_RESPONSE_BYTES:
                 raise errors.DecodeError('the answer is too long')
         elif isinstance(event, h11.EndOfMessage):
-            return Answer(status, json.loads(content or b'null'))
+            return Response(status, json.loads(content or b'null'))
         elif isinstance(event, h11.ConnectionClosed):
             raise OSError('closed without an answer')
 
 
-def _send_checked(sock: socket.socket, data: bytes, check: Check) -> None:
+def _send_checked(sock: socket.socket, data: bytes, check: LeaseCheck) -> None:
     """Hand the whole request to the kernel while it may be sent.
 
     Nothing is awaited between the check and the send, so no other task
@@ -102,12 +102,12 @@
     then. The second check makes sure that no stop came before the timer.
     """
     left_s = check()
-    if left_s <= 2 * ARM_S:
+    if left_s <= 2 * TIMER_MARGIN_S:
         # The timer would end the process where it is held up for a moment,
         # with all callers' requests.
         raise errors.LeaseLostError('too little time is left to send')
-    with deadman.limit(left_s - ARM_S):
-        if left_s - check() > ARM_S:
+    with watchdog.kill_after(left_s - TIMER_MARGIN_S):
+        if left_s - check() > TIMER_MARGIN_S:
             raise errors.LeaseLostError('stopped before the send')
         sent = sock.send(data)
     if sent != len(data):
@@ -119,11 +119,11 @@
     method: str,
     body: typing.Any,
     *,
-    check: Check,
+    check: LeaseCheck,
     lifetime_s: float,
     timeout_s: float,
     headers: collections.abc.Mapping[str, str] = types.MappingProxyType({}),
-) -> Answer:
+) -> Response:
     """Connect, check, send and return the answer.
 
     Undelivered bytes are dropped after lifetime_s. Raise LeaseLostError
@@ -134,17 +134,17 @@
     if parts.scheme != 'http':
         raise errors.UserError(f'{url}: orders need a plain http URL')
     connection = h11.Connection(h11.CLIENT)
-    data = _request_bytes(connection, method, parts, body, headers)
-    known = verdict.Verdict.NOT_RUN
+    data = _encode_request(connection, method, parts, body, headers)
+    verdict_if_failed = verdict.Verdict.NOT_RUN
     sock = _make_socket(lifetime_s)
     wrapped = trio.socket.from_stdlib_socket(sock)
     try:
         with trio.fail_after(timeout_s):
             await wrapped.connect((parts.hostname, parts.port or 80))
             check()
-            known = verdict.Verdict.MAY_HAVE_RUN
+            verdict_if_failed = verdict.Verdict.MAY_HAVE_RUN
             _send_checked(sock, data, check)
-            return await _read_answer(connection, wrapped)
+            return await _read_response(connection, wrapped)
     except errors.LeaseLostError:
         raise
     except (
@@ -154,7 +154,9 @@
         ValueError,
         errors.DecodeError,
     ) as error:
-        raise errors.UpstreamError(f'{url}: {error!r}', known) from error
+        raise errors.UpstreamError(
+            f'{url}: {error!r}', verdict_if_failed
+        ) from error
     finally:
         # A connect that was given up has closed the socket already.
         if sock.fileno() >= 0:
--- a/gentianstair/util/line_writer.py
+++ b/gentianstair/util/line_writer.py
@@ -8,11 +8,11 @@
 from gentianstair.generated import events
 
 # Held for a reader that is slow; a second of full-rate lines.
-MOST_BUFFERED_BYTES = 262144
+MAX_BUFFERED_BYTES = 262144
 # Lines a second, and how many may come at once. A request takes two to four
 # lines; a VM serves some tens a second, and a fourfold burst of them fits.
 LINES_PER_S = 400.0
-BURST_LINES = 1200.0
+MAX_BURST_LINES = 1200.0
 
 
 class LineWriter:
@@ -30,52 +30,55 @@
         self._fd = fd
         self._clock = clock
         self._buffer = bytearray()
-        self._allowed = BURST_LINES
-        self._at_s = clock()
-        self._dropped = 0
+        self._tokens = MAX_BURST_LINES
+        self._refilled_s = clock()
+        self._dropped_lines = 0
 
     def write(self, line: str) -> None:
         """Write one line, which ends in a line feed, or drop it."""
-        if not self._admit():
-            self._dropped += 1
+        if not self._take_token():
+            self._dropped_lines += 1
             return
         data = line.encode('utf-8', 'replace')
-        if self._dropped:
-            told = {'event': events.LOG_DROPPED, 'lines': self._dropped}
-            data = json.dumps(told).encode() + b'\n' + data
-        if len(self._buffer) + len(data) > MOST_BUFFERED_BYTES:
+        if self._dropped_lines:
+            notice = {
+                'event': events.LOG_DROPPED,
+                'lines': self._dropped_lines,
+            }
+            data = json.dumps(notice).encode() + b'\n' + data
+        if len(self._buffer) + len(data) > MAX_BUFFERED_BYTES:
             self.flush()
-        if len(self._buffer) + len(data) > MOST_BUFFERED_BYTES:
-            self._dropped += 1
+        if len(self._buffer) + len(data) > MAX_BUFFERED_BYTES:
+            self._dropped_lines += 1
             return
-        self._dropped = 0
+        self._dropped_lines = 0
         self._buffer += data
         self.flush()
 
-    def _admit(self) -> bool:
+    def _take_token(self) -> bool:
         now_s = self._clock()
-        earned = (now_s - self._at_s) * LINES_PER_S
-        self._at_s = now_s
-        self._allowed = min(BURST_LINES, self._allowed + earned)
-        if self._allowed < 1:
+        earned = (now_s - self._refilled_s) * LINES_PER_S
+        self._refilled_s = now_s
+        self._tokens = min(MAX_BURST_LINES, self._tokens + earned)
+        if self._tokens < 1:
             return False
-        self._allowed -= 1
+        self._tokens -= 1
         return True
 
-    def admit_last(self) -> None:
+    def allow_one_line(self) -> None:
         """Let one more line through, whatever the rate was."""
-        self._allowed = max(1.0, self._allowed)
+        self._tokens = max(1.0, self._tokens)
 
-    def drain(self, most_s: float) -> None:
-        """Write all that is held; wait for its reader for most_s at most.
+    def drain(self, timeout_s: float) -> None:
+        """Write all that is held; wait for its reader for timeout_s at most.
 
         Only for the end of the program: everything else waits too.
         """
-        until_s = self._clock() + most_s
+        deadline_s = self._clock() + timeout_s
         ready = select.poll()
         ready.register(self._fd, select.POLLOUT)
         self.flush()
-        while self._buffer and (left_s := until_s - self._clock()) > 0:
+        while self._buffer and (left_s := deadline_s - self._clock()) > 0:
             ready.poll(left_s * 1000)
             self.flush()
 
--- a/gentianstair/util/log_lines.py
+++ b/gentianstair/util/log_lines.py
@@ -5,7 +5,7 @@
 import typing
 
 # A longer line is no line of ours; it is counted as unreadable and skipped.
-LONGEST_LINE_BYTES = 65536
+MAX_LINE_BYTES = 65536
 
 Line = dict[str, typing.Any]
 
@@ -22,16 +22,16 @@
         self, streams: collections.abc.Iterable[typing.BinaryIO]
     ) -> None:
         self._streams = streams
-        self.read = 0
-        self.unreadable = 0
+        self.line_count = 0
+        self.unreadable_count = 0
 
     def __iter__(self) -> collections.abc.Iterator[Line]:
         for stream in self._streams:
             for data in _split(stream):
-                self.read += 1
+                self.line_count += 1
                 line = parse(data) if data is not None else None
                 if line is None:
-                    self.unreadable += 1
+                    self.unreadable_count += 1
                 else:
                     yield line
 
@@ -40,12 +40,12 @@
     stream: typing.BinaryIO,
 ) -> collections.abc.Iterator[bytes | None]:
     """Yield lines, None for one that is too long."""
-    while data := stream.readline(LONGEST_LINE_BYTES):
-        if len(data) < LONGEST_LINE_BYTES or data.endswith(b'\n'):
+    while data := stream.readline(MAX_LINE_BYTES):
+        if len(data) < MAX_LINE_BYTES or data.endswith(b'\n'):
             yield data
             continue
         while data and not data.endswith(b'\n'):
-            data = stream.readline(LONGEST_LINE_BYTES)
+            data = stream.readline(MAX_LINE_BYTES)
         yield None
 
 
--- a/gentianstair/util/logs.py
+++ b/gentianstair/util/logs.py
@@ -20,13 +20,13 @@
     'verdict',
 )
 REDACTED = '[redacted]'
-MAX_TEXT = 8000
+MAX_TEXT_CHARS = 8000
 LIBRARY_LEVEL = logging.WARNING
 _SECRET_NAMES = frozenset(
     {'authorization', 'api_key', 'key', 'secret', 'password'}
 )
 # A caller key as granted, and a private key.
-_SECRETS = re.compile(
+_SECRET_PATTERN = re.compile(
     r'gst_[A-Za-z0-9_-]{8,}'
     r'|-----BEGIN[A-Z ]*PRIVATE KEY-----.*?(?:-----END|$)',
     re.DOTALL,
@@ -34,7 +34,7 @@
 # What is assigned to a name that promises a secret, or follows "Bearer". A
 # header shows as ``authorization: x``, ``'authorization', 'x'`` or
 # ``b'authorization', b'x'``.
-_ASSIGNED = re.compile(
+_ASSIGNED_SECRET_PATTERN = re.compile(
     r'''((?:authorization|api[-_]key|password|secret)['"]?\s*[:=,]\s*'''
     r'''(?:b?['"])?|\b(?:bearer|basic)\s)'''
     r'''(?:\s*(?:bearer|basic)\s)?\s*[^\s'",)}\]]+''',
@@ -50,29 +50,29 @@
     >>> redact('found gst_0123456789abc')
     'found [redacted]'
     """
-    text = _SECRETS.sub(REDACTED, text)
-    return _ASSIGNED.sub(rf'\1{REDACTED}', text)
+    text = _SECRET_PATTERN.sub(REDACTED, text)
+    return _ASSIGNED_SECRET_PATTERN.sub(rf'\1{REDACTED}', text)
 
 
-def _clean(value: typing.Any) -> typing.Any:
+def _sanitize(value: typing.Any) -> typing.Any:
     """Return a value as JSON can carry it, redacted at every depth."""
     if value is None or isinstance(value, (bool, int, float)):
         return value
     if isinstance(value, dict):
-        return {str(key): _clean_field(key, value[key]) for key in value}
+        return {str(key): _sanitize_field(key, value[key]) for key in value}
     if isinstance(value, (list, tuple, set, frozenset)):
-        return [_clean(item) for item in value]
+        return [_sanitize(item) for item in value]
     text = value if isinstance(value, str) else repr(value)
     # Cut twice: first so that a huge text costs little to search, then so
     # that no key is cut in two and slips past the search.
-    return redact(text[: 2 * MAX_TEXT])[:MAX_TEXT]
+    return redact(text[: 2 * MAX_TEXT_CHARS])[:MAX_TEXT_CHARS]
 
 
-def _clean_field(name: typing.Any, value: typing.Any) -> typing.Any:
+def _sanitize_field(name: typing.Any, value: typing.Any) -> typing.Any:
     """Return the value of a named field; a secret's name hides it whole."""
     if str(name).lower().replace('-', '_') in _SECRET_NAMES:
         return REDACTED
-    return _clean(value)
+    return _sanitize(value)
 
 
 def to_line(record: typing.Any) -> str:
@@ -81,16 +81,16 @@
         'at': record['time'].isoformat(timespec='milliseconds'),
         'level': record['level'].name,
         'module': record['name'],
-        'message': _clean(record['message']),
+        'message': _sanitize(record['message']),
     }
     for name, value in record['extra'].items():
-        line[name] = _clean_field(name, value)
+        line[name] = _sanitize_field(name, value)
     error = record['exception']
     if error is not None:
         # Formatted here, without values of variables: loguru's own
         # formatter may print them, and a key would be among them.
         text = ''.join(traceback.format_exception(*error))
-        line['exception'] = redact(text)[-MAX_TEXT:]
+        line['exception'] = redact(text)[-MAX_TEXT_CHARS:]
     return json.dumps(line, default=str) + '\n'
 
 
@@ -104,7 +104,7 @@
         """Hand on what was taken."""
 
 
-class _Sink:
+class _JsonSink:
     """Write each record as a line to a stream."""
 
     def __init__(self, stream: Stream) -> None:
@@ -115,7 +115,7 @@
         self._stream.flush()
 
 
-class _Forward(logging.Handler):
+class _LibraryLogHandler(logging.Handler):
     """Hand what libraries log over to our sink."""
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -156,12 +156,14 @@
         extra={'vm': vm_name, 'failure_domain': failure_domain}
     )
     loguru.logger.add(
-        _Sink(stream or sys.stderr),
+        _JsonSink(stream or sys.stderr),
         level=level,
         format='{message}',
         backtrace=False,
         diagnose=False,
         catch=True,
     )
-    logging.basicConfig(handlers=[_Forward()], level=LIBRARY_LEVEL, force=True)
+    logging.basicConfig(
+        handlers=[_LibraryLogHandler()], level=LIBRARY_LEVEL, force=True
+    )
     sys.excepthook = _log_crash
--- a/gentianstair/util/tls.py
+++ b/gentianstair/util/tls.py
@@ -14,7 +14,7 @@
 RELOAD_INTERVAL_S = 5.0
 
 
-class Files(typing.NamedTuple):
+class CertificateFiles(typing.NamedTuple):
     """The PEM files of one side; ``ca`` is empty unless peers are checked."""
 
     cert: str
@@ -22,7 +22,7 @@
     ca: str = ''
 
 
-def check_files(files: Files, what: str) -> bool:
+def is_enabled(files: CertificateFiles, what: str) -> bool:
     """Return whether TLS is on; raise SettingsError if files are missing."""
     if not any(files):
         return False
@@ -33,7 +33,7 @@
     return True
 
 
-def check_plain(address: str, allowed: bool, flag: str) -> None:
+def check_plaintext_allowed(address: str, allowed: bool, flag: str) -> None:
     """Raise SettingsError unless plain connections may use an address.
 
     Without TLS a caller's key could be read on the way, so only loopback is
@@ -53,7 +53,7 @@
     )
 
 
-def _load(context: ssl.SSLContext, files: Files) -> ssl.SSLContext:
+def _load(context: ssl.SSLContext, files: CertificateFiles) -> ssl.SSLContext:
     context.options |= ssl.OP_NO_COMPRESSION | ssl.OP_NO_RENEGOTIATION
     try:
         context.load_cert_chain(files.cert, files.key)
@@ -67,7 +67,7 @@
     return context
 
 
-def make_server_context(files: Files) -> ssl.SSLContext:
+def make_server_context(files: CertificateFiles) -> ssl.SSLContext:
     """Return a context that serves; it asks for certificates if ca is set.
 
     Raise SettingsError if a file cannot be used.
@@ -85,7 +85,7 @@
     return _load(context, files)
 
 
-def make_client_context(files: Files) -> ssl.SSLContext:
+def make_client_context(files: CertificateFiles) -> ssl.SSLContext:
     """Return a context that connects to peers and shows a certificate.
 
     A peer is known by the authority that signed its certificate, not by a
@@ -100,7 +100,9 @@
     return _load(context, files)
 
 
-def _stamp(files: Files) -> tuple[tuple[int, int, int], ...]:
+def _file_versions(
+    files: CertificateFiles,
+) -> tuple[tuple[int, int, int], ...]:
     """Return what changes when a file is written or replaced."""
     found = []
     for name in filter(None, files):
@@ -120,21 +122,21 @@
     check a server with.
     """
 
-    def __init__(self, files: Files) -> None:
+    def __init__(self, files: CertificateFiles) -> None:
         self.files = files
-        self._stamp = _stamp(files)
+        self._versions = _file_versions(files)
         self.server = make_server_context(files)
-        self.server.sni_callback = self._choose
-        self._newest = self.server
+        self.server.sni_callback = self._switch_context
+        self._current = self.server
         self.client = make_client_context(files) if files.ca else None
 
-    def _choose(
+    def _switch_context(
         self, connection: ssl.SSLObject, name: str | None, _: ssl.SSLContext
     ) -> None:
         """Move a connection that says hello to the newest context."""
-        connection.context = self._newest
+        connection.context = self._current
 
-    def check(self) -> bool:
+    def reload_if_changed(self) -> bool:
         """Take up changed files; return whether there were any.
 
         Between the writes of two files the pair does not match, or one is
@@ -142,23 +144,23 @@
         the files are tried again at the next check.
         """
         try:
-            stamp = _stamp(self.files)
-            if stamp == self._stamp:
+            versions = _file_versions(self.files)
+            if versions == self._versions:
                 return False
             server = make_server_context(self.files)
             client = make_client_context(self.files) if self.files.ca else None
         except (OSError, errors.SettingsError) as error:
             loguru.logger.warning('certificate not renewed: {}', error)
             return False
-        self._newest, self.client, self._stamp = server, client, stamp
+        self._current, self.client, self._versions = server, client, versions
         loguru.logger.info('certificate renewed from {}', self.files.cert)
         return True
 
-    async def run(self, interval_s: float = RELOAD_INTERVAL_S) -> None:
+    async def watch_files(self, interval_s: float = RELOAD_INTERVAL_S) -> None:
         """Check forever."""
         while True:
             await trio.sleep(interval_s)
-            self.check()
+            self.reload_if_changed()
 
 
 def make_caller_credentials(
@@ -169,19 +171,19 @@
     Raise SettingsError if a file is missing or cannot be used, or if TLS is
     off where only loopback may be served plain.
     """
-    files = Files(cert, key)
-    if check_files(files, '--tls-cert-file, --tls-key-file'):
+    files = CertificateFiles(cert, key)
+    if is_enabled(files, '--tls-cert-file, --tls-key-file'):
         return _make(files)
-    check_plain(listen, insecure_plain, '--listen')
+    check_plaintext_allowed(listen, insecure_plain, '--listen')
     return None
 
 
-def make_peer_credentials(files: Files) -> Credentials | None:
+def make_peer_credentials(files: CertificateFiles) -> Credentials | None:
     """Return what peers meet each other with, or None if TLS is off.
 
     Raise SettingsError if a file is missing or cannot be used.
     """
-    if not check_files(files, '--peer-tls-cert-file, --peer-tls-key-file'):
+    if not is_enabled(files, '--peer-tls-cert-file, --peer-tls-key-file'):
         return None
     if not files.ca:
         raise errors.SettingsError(
@@ -190,7 +192,7 @@
     return _make(files)
 
 
-def _make(files: Files) -> Credentials:
+def _make(files: CertificateFiles) -> Credentials:
     try:
         return Credentials(files)
     except OSError as error:
--- a/gentianstair/util/usage_rows.py
+++ b/gentianstair/util/usage_rows.py
@@ -5,7 +5,7 @@
 from gentianstair.generated import messages
 
 Key = tuple[int, str, str]
-COUNTS = ('requests', 'prompt_tokens', 'output_tokens')
+COUNT_FIELDS = ('requests', 'prompt_tokens', 'output_tokens')
 
 
 def key_of(row: messages.UsageRow) -> Key:
@@ -13,18 +13,18 @@
     return row['window'], row['customer'], row['upstream_kind']
 
 
-def by_key(
+def sum_by_key(
     rows: collections.abc.Iterable[messages.UsageRow],
 ) -> dict[Key, messages.UsageRow]:
     """Return rows by their key, added up where several share one."""
     found: dict[Key, messages.UsageRow] = {}
     for row in rows:
         known = found.get(key_of(row))
-        found[key_of(row)] = row if known is None else plus(known, row)
+        found[key_of(row)] = row if known is None else add(known, row)
     return found
 
 
-def plus(
+def add(
     first: messages.UsageRow, second: messages.UsageRow
 ) -> messages.UsageRow:
     """Return the sum of two rows with the same key."""
@@ -36,7 +36,7 @@
     }
 
 
-def minus(
+def subtract(
     first: messages.UsageRow, second: messages.UsageRow | None
 ) -> messages.UsageRow:
     """Return what first has above second, never below zero."""
--- a/gentianstair/util/deadman.py
+++ b/gentianstair/util/watchdog.py
@@ -6,7 +6,7 @@
 
 
 @contextlib.contextmanager
-def limit(seconds: float) -> collections.abc.Iterator[None]:
+def kill_after(timeout_s: float) -> collections.abc.Iterator[None]:
     """Have the kernel end this process if the block is not left in time.
 
     A process that is stopped inside the block and goes on later would take
@@ -17,13 +17,13 @@
 
     The block must not await, and must run on the main thread.
     """
-    handler = signal.signal(signal.SIGALRM, signal.SIG_DFL)
-    before_s, interval_s = signal.setitimer(
-        signal.ITIMER_REAL, max(seconds, 1e-6)
+    previous_handler = signal.signal(signal.SIGALRM, signal.SIG_DFL)
+    previous_s, previous_interval_s = signal.setitimer(
+        signal.ITIMER_REAL, max(timeout_s, 1e-6)
     )
     try:
         yield
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0)
-        signal.signal(signal.SIGALRM, handler)
-        signal.setitimer(signal.ITIMER_REAL, before_s, interval_s)
+        signal.signal(signal.SIGALRM, previous_handler)
+        signal.setitimer(signal.ITIMER_REAL, previous_s, previous_interval_s)
--- a/standins/chaos.py
+++ b/standins/chaos.py
@@ -10,7 +10,7 @@
 from gentianstair.generated import messages
 from gentianstair.store import store as stores
 from gentianstair.upstreams import orders_client
-from gentianstair.util import checked_call
+from gentianstair.util import leased_call
 from standins import history
 from standins import memory_store
 from standins.platform import objects
@@ -260,7 +260,7 @@
         self,
         url: str,
         order: orders_client.Order,
-        check: checked_call.Check,
+        check: leased_call.LeaseCheck,
     ) -> orders_client.Outcome:
         """See OrdersClient.send."""
         engine = self._engines[url]
@@ -323,7 +323,7 @@
         self._lifetime_s = lifetime_s
 
     async def send(
-        self, body: dict[str, typing.Any], check: checked_call.Check
+        self, body: dict[str, typing.Any], check: leased_call.LeaseCheck
     ) -> None:
         """See Sender.send."""
         await self._process.step()
--- a/standins/engine/app.py
+++ b/standins/engine/app.py
@@ -16,7 +16,7 @@
 import trio
 import xxhash
 
-from gentianstair.util import blocks
+from gentianstair.util import prefix_hashing
 from standins import history
 from standins.engine import model
 from standins.engine import orders
@@ -79,7 +79,7 @@
         request_id,
         max(len(tokens) + len(resumed), 1),
         max(end - len(resumed), 1),
-        blocks.block_hashes(tokens + resumed, f'{name}\0{salt}'),
+        prefix_hashing.block_hashes(tokens + resumed, f'{name}\0{salt}'),
         int(body.get('priority', 0)),
         name,
     )
--- a/test/gateway/test_kept_connections.py
+++ b/test/gateway/test_kept_connections.py
@@ -13,7 +13,7 @@
 from standins.site import replica as replicas
 from standins.site import site as sites
 from test.gateway import gateways
-from test.util import kept
+from test.util import keep_alive_harness
 
 # Turns of the event loop after the stop, with one request each.
 TURNS = 20
@@ -23,7 +23,7 @@
 SETTLE_S = 0.05
 WAIT_S = 10.0
 DONE = re.compile(rb'done by (i-desk-\d)')
-TRANSPORT = kept.Transport(socket.AF_INET)
+TRANSPORT = keep_alive_harness.Transport(socket.AF_INET)
 
 
 def _request(gateway, request_id):
@@ -114,7 +114,7 @@
     async with sites.running() as site:
         async with gateways.running(site, tmp_path) as (gateway,):
             tracker.callers = await _connect_kept(gateway, names)
-            kept.set_order(monkeypatch, [last_first])
+            keep_alive_harness.set_order(monkeypatch, [last_first])
             stop.set()
             await _send_one_per_turn(gateway, tracker.callers)
             await tracker.read_to_end()
@@ -136,7 +136,7 @@
         async with gateways.running(site, tmp_path) as (gateway,):
             tracker.callers = await _connect_kept(gateway, names)
             await trio.sleep(SETTLE_S)
-            kept.set_order(monkeypatch, [last_first])
+            keep_alive_harness.set_order(monkeypatch, [last_first])
             for name, caller in tracker.callers.items():
                 caller.send(_request(gateway, name))
             time.sleep(BLOCK_S)
--- a/test/ui/test_change.py
+++ b/test/ui/test_change.py
@@ -174,7 +174,7 @@
     goes first, so a death at any write leaves no change unrecorded, and
     an entry without outcome is settled from the object.
     """
-    monkeypatch.setattr(audit, 'SETTLE_S', -1.0)
+    monkeypatch.setattr(audit, 'MAX_WRITE_S', -1.0)
     table = make_table()
     with pytest.raises(KeyboardInterrupt):
         await drain(ScriptedStore(table, kind, ['dies']))
--- a/test/ui/test_stories.py
+++ b/test/ui/test_stories.py
@@ -41,7 +41,7 @@
         ('T9', 'a', 'answer'),
     ]
     assert rows[1].detail == 'replica=i-1 left_s=2.5'
-    assert (found.read, found.unreadable) == (8, 2)
+    assert (found.line_count, found.unreadable_count) == (8, 2)
 
 
 @pytest.mark.parametrize(
@@ -59,7 +59,7 @@
         b'\xff\xfe{\x00',
         b'[1, 2]\n{"at": 5}\nnull\n',
         b'{' * 1000,
-        b'x' * (3 * log_lines.LONGEST_LINE_BYTES) + b'\n',
+        b'x' * (3 * log_lines.MAX_LINE_BYTES) + b'\n',
         b'\n\n\n',
     ],
 )
@@ -68,7 +68,7 @@
     stream = io.BytesIO(data.rstrip(b'\n') + b'\n' + after)
     found = log_lines.Reader([stream])
     assert len(stories.of_request(found, 'r1')) == 1
-    assert found.unreadable == found.read - 1 >= 1
+    assert found.unreadable_count == found.line_count - 1 >= 1
 
 
 class Endless:
@@ -86,7 +86,7 @@
 def test_a_huge_log_is_not_kept():
     found = log_lines.Reader([Endless(200_000)])
     assert stories.of_request(found, 'r1') == []
-    assert found.read == 200_000
+    assert found.line_count == 200_000
 
 
 @pytest.mark.process
--- a/test/util/test_audit.py
+++ b/test/util/test_audit.py
@@ -65,4 +65,4 @@
     found = await audit.read(client, since)
     assert [record.name for record in found] == names[1:]
     settled = len(found)
-    assert client.calls['audit'] - settled <= 2 * (audit.MAX_LISTS + 1)
+    assert client.calls['audit'] - settled <= 2 * (audit.MAX_LIST_CALLS + 1)
--- a/test/util/test_connection_ends.py
+++ b/test/util/test_connection_ends.py
@@ -5,7 +5,7 @@
 import trio.testing
 
 from gentianstair.util import serving
-from test.util import kept
+from test.util import keep_alive_harness
 
 # Far below the grace and the keep-alive time.
 PROMPT_S = 2.0
@@ -13,11 +13,11 @@
 SHORT_GRACE_S = 0.3
 BODY = b'body'
 PATH = '/second'
-WHOLE = kept.request(PATH)
+WHOLE = keep_alive_harness.request(PATH)
 PARTS = 15
 PART_S = 20.0
 
-moments = pytest.mark.parametrize('moment', kept.MOMENTS)
+moments = pytest.mark.parametrize('moment', keep_alive_harness.MOMENTS)
 transports = pytest.mark.parametrize(
     'transport', ['unix', 'tcp', 'tls'], indirect=True
 )
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def transport(request, tmp_path):
-    return kept.make_transport(request.param, tmp_path)
+    return keep_alive_harness.make_transport(request.param, tmp_path)
 
 
 async def _read_ends(server, moment, callers):
@@ -40,18 +40,20 @@
 @transports
 async def test_idle_connections_are_not_kept(transport, moment, mock_clock):
     mock_clock.rate = 1.0
-    async with kept.running(transport, grace_s=GRACE_S) as server:
+    async with keep_alive_harness.running(
+        transport, grace_s=GRACE_S
+    ) as server:
         callers = [await server.connect_kept(f'/{n}') for n in range(5)]
         callers += [await server.connect() for _ in range(2)]
         await trio.testing.wait_all_tasks_blocked()
-        kept.begin(server, moment, mock_clock)
+        keep_alive_harness.begin(server, moment, mock_clock)
         await _read_ends(server, moment, callers)
 
 
 @transports
 async def test_connections_in_use_are_not_closed(transport, mock_clock):
     mock_clock.rate = 1.0
-    async with kept.running(transport) as server:
+    async with keep_alive_harness.running(transport) as server:
         caller = await server.connect()
         with trio.fail_after(10 * serving.KEEP_ALIVE_S):
             for number in range(4):
@@ -64,7 +66,7 @@
 @transports
 async def test_long_answers_are_not_cut_off(transport, mock_clock):
     mock_clock.rate = 1.0
-    async with kept.running(transport) as server:
+    async with keep_alive_harness.running(transport) as server:
         caller = await server.connect_kept()
         server.app.gate = trio.Event()
         caller.send(WHOLE)
@@ -85,12 +87,14 @@
     transport, connect, moment, mock_clock
 ):
     mock_clock.rate = 1.0
-    async with kept.running(transport, grace_s=GRACE_S) as server:
+    async with keep_alive_harness.running(
+        transport, grace_s=GRACE_S
+    ) as server:
         caller = await getattr(server, connect)()
         caller.send(WHOLE[:9])
         transport.wait_arrival()
         await trio.testing.wait_all_tasks_blocked()
-        kept.begin(server, moment, mock_clock)
+        keep_alive_harness.begin(server, moment, mock_clock)
         await _read_ends(server, moment, [caller])
         assert PATH not in server.app.given
 
@@ -98,7 +102,7 @@
 @transports
 async def test_a_head_byte_by_byte_keeps_no_connection(transport, mock_clock):
     mock_clock.rate = 1.0
-    async with kept.running(transport) as server:
+    async with keep_alive_harness.running(transport) as server:
         caller = await server.connect_kept()
         for byte in WHOLE[:PARTS]:
             caller.send(bytes([byte]))
@@ -111,14 +115,16 @@
 @transports
 @pytest.mark.parametrize('busy_with', ['answer', 'body', 'several'])
 async def test_busy_connections_do_not_outlast_the_grace(transport, busy_with):
-    app = kept.App()
+    app = keep_alive_harness.App()
     app.gate = trio.Event()
     sent = {
         'answer': WHOLE,
-        'body': kept.request(PATH, BODY)[:-1],
+        'body': keep_alive_harness.request(PATH, BODY)[:-1],
         'several': WHOLE * 3,
     }
-    async with kept.running(transport, app, SHORT_GRACE_S) as server:
+    async with keep_alive_harness.running(
+        transport, app, SHORT_GRACE_S
+    ) as server:
         caller = await server.connect()
         caller.send(sent[busy_with])
         transport.wait_arrival()
@@ -131,7 +137,9 @@
 
 @transports
 async def test_busy_connections_are_answered_at_a_stop(transport):
-    async with kept.running(transport, grace_s=GRACE_S) as server:
+    async with keep_alive_harness.running(
+        transport, grace_s=GRACE_S
+    ) as server:
         callers = [await server.connect_kept(f'/{n}') for n in range(5)]
         server.app.gate = trio.Event()
         for caller in callers:
@@ -151,9 +159,11 @@
     transport, moment, mock_clock
 ):
     mock_clock.rate = 1.0
-    async with kept.running(transport, grace_s=GRACE_S) as server:
+    async with keep_alive_harness.running(
+        transport, grace_s=GRACE_S
+    ) as server:
         caller = await server.connect_kept()
-        kept.begin(server, moment, mock_clock)
+        keep_alive_harness.begin(server, moment, mock_clock)
         await trio.testing.wait_all_tasks_blocked()
         caller.send(WHOLE)
         transport.wait_arrival()
@@ -164,10 +174,12 @@
 
 @transports
 async def test_pipelined_requests_do_not_delay_a_stop(transport):
-    async with kept.running(transport, grace_s=GRACE_S) as server:
+    async with keep_alive_harness.running(
+        transport, grace_s=GRACE_S
+    ) as server:
         caller = await server.connect_kept()
         server.app.gate = trio.Event()
-        caller.send(WHOLE + kept.request('/third'))
+        caller.send(WHOLE + keep_alive_harness.request('/third'))
         transport.wait_arrival()
         await trio.testing.wait_all_tasks_blocked()
         server.stop.set()
--- a/test/util/test_idle_close.py
+++ b/test/util/test_idle_close.py
@@ -10,7 +10,7 @@
 import trio.testing
 
 from gentianstair.util import serving
-from test.util import kept
+from test.util import keep_alive_harness
 
 # Turns of the event loop from the moment of closing to a sending.
 FIRST_TURN = -3
@@ -39,9 +39,9 @@
 
 
 PATH = '/second'
-WHOLE = kept.request(PATH)
-NEXT = kept.request('/third')
-LONG = kept.request(PATH, BODY)
+WHOLE = keep_alive_harness.request(PATH)
+NEXT = keep_alive_harness.request('/third')
+LONG = keep_alive_harness.request(PATH, BODY)
 HEAD = LONG[: -len(BODY)]
 SHAPES = {
     'whole': Shape([Part(WHOLE)]),
@@ -65,7 +65,7 @@
 
 @pytest.fixture
 def transport(request, tmp_path):
-    return kept.make_transport(request.param, tmp_path)
+    return keep_alive_harness.make_transport(request.param, tmp_path)
 
 
 class Player:
@@ -81,16 +81,16 @@
     async def play(self, shape, order, at):
         """Send the first part so many turns after the moment."""
         self._monkeypatch.undo()
-        async with kept.running(self._transport) as server:
+        async with keep_alive_harness.running(self._transport) as server:
             connect = server.connect_kept if shape.kept else server.connect
             caller = await connect()
             caller.send(shape.early)
             self._transport.wait_arrival()
             await trio.testing.wait_all_tasks_blocked()
-            kept.set_order(self._monkeypatch, order)
+            keep_alive_harness.set_order(self._monkeypatch, order)
             await self._pass_moment(server, caller, shape.parts, at)
             with trio.fail_after(WAIT_S):
-                await kept.end(server, [caller])
+                await keep_alive_harness.end(server, [caller])
         return Outcome(server.app.given, caller.answered())
 
     async def _pass_moment(self, server, caller, parts, at):
@@ -100,7 +100,7 @@
                     caller.send(part.data)
                     self._transport.wait_arrival()
             if turn == 0:
-                kept.begin(server, self._moment, self._clock)
+                keep_alive_harness.begin(server, self._moment, self._clock)
             await trio.lowlevel.checkpoint()
         for part in parts:
             if at + part.turns > LAST_TURN:
@@ -109,18 +109,18 @@
     async def play_unread(self, order):
         """Send a request right before the server decides to close."""
         self._monkeypatch.undo()
-        async with kept.running(self._transport) as server:
+        async with keep_alive_harness.running(self._transport) as server:
             caller = await server.connect_kept()
             if self._moment == 'stop':
                 self._send_before_stop(server, caller)
             else:
                 caller.send(WHOLE)
                 self._transport.wait_arrival()
-            kept.set_order(self._monkeypatch, order)
-            kept.begin(server, self._moment, self._clock)
-            await kept.pass_turns(LAST_TURN)
+            keep_alive_harness.set_order(self._monkeypatch, order)
+            keep_alive_harness.begin(server, self._moment, self._clock)
+            await keep_alive_harness.pass_turns(LAST_TURN)
             with trio.fail_after(WAIT_S):
-                await kept.end(server, [caller])
+                await keep_alive_harness.end(server, [caller])
         return Outcome(server.app.given, caller.answered())
 
     def _send_before_stop(self, server, caller):
@@ -142,7 +142,7 @@
     async def sweep(self, shape):
         """Return the outcomes by order and turn."""
         found = {}
-        for order in kept.ORDERS:
+        for order in keep_alive_harness.ORDERS:
             for at in range(FIRST_TURN, LAST_TURN + 1):
                 found[order, at] = await self.play(shape, order, at)
         return found
@@ -171,14 +171,14 @@
             noted.append(name)
             await trio.lowlevel.checkpoint()
 
-    kept.set_order(monkeypatch, order)
+    keep_alive_harness.set_order(monkeypatch, order)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(note, 'a')
         nursery.start_soon(note, 'b')
     assert ''.join(noted) == seen
 
 
-both_moments = pytest.mark.parametrize('moment', kept.MOMENTS)
+both_moments = pytest.mark.parametrize('moment', keep_alive_harness.MOMENTS)
 # Only where the kernel delivers within a send is each turn the same again.
 shapes = pytest.mark.parametrize(
     ('transport', 'shape'),
@@ -209,7 +209,10 @@
 @both_moments
 @transports
 async def test_a_close_drops_no_request_that_lies_unread(player, mock_clock):
-    found = {order: await player.play_unread(order) for order in kept.ORDERS}
+    found = {
+        order: await player.play_unread(order)
+        for order in keep_alive_harness.ORDERS
+    }
     assert not {
         order
         for order, outcome in found.items()
@@ -226,18 +229,20 @@
     mock_clock.rate = 1.0
     order = random.Random(seed).choices([False, True], k=100)
     turns = range(FIRST_TURN, LAST_TURN + 1)
-    async with kept.running(transport) as server:
+    async with keep_alive_harness.running(transport) as server:
         callers = [await server.connect_kept(f'/{n}') for n in range(CALLERS)]
-        kept.set_order(monkeypatch, order)
+        keep_alive_harness.set_order(monkeypatch, order)
         for turn in turns:
             for number in range(turn - FIRST_TURN, CALLERS, len(turns)):
-                callers[number].send(kept.request(f'{PATH}/{number}'))
+                callers[number].send(
+                    keep_alive_harness.request(f'{PATH}/{number}')
+                )
             transport.wait_arrival()
             if turn == 0:
-                kept.begin(server, moment, mock_clock)
+                keep_alive_harness.begin(server, moment, mock_clock)
             await trio.lowlevel.checkpoint()
         with trio.fail_after(WAIT_S):
-            await kept.end(server, callers)
+            await keep_alive_harness.end(server, callers)
     answered = {path for caller in callers for path in caller.answered()}
     assert not set(server.app.given) - answered
 
@@ -247,16 +252,16 @@
     transport, monkeypatch
 ):
     lost = {}
-    for order in kept.ORDERS:
+    for order in keep_alive_harness.ORDERS:
         monkeypatch.undo()
         monkeypatch.setattr(serving, 'KEEP_ALIVE_S', HOLD_S)
-        async with kept.running(transport) as server:
+        async with keep_alive_harness.running(transport) as server:
             caller = await server.connect_kept()
-            kept.set_order(monkeypatch, order)
+            keep_alive_harness.set_order(monkeypatch, order)
             caller.send(WHOLE)
             time.sleep(HOLD_S)
-            await kept.pass_turns(LAST_TURN)
+            await keep_alive_harness.pass_turns(LAST_TURN)
             with trio.fail_after(WAIT_S):
-                await kept.end(server, [caller])
+                await keep_alive_harness.end(server, [caller])
         lost[order] = set(server.app.given) - set(caller.answered())
     assert not {order: paths for order, paths in lost.items() if paths}
--- a/test/util/test_idle_close_hammer.py
+++ b/test/util/test_idle_close_load.py
@@ -8,7 +8,7 @@
 import trio.testing
 
 from gentianstair.util import serving
-from test.util import kept
+from test.util import keep_alive_harness
 
 ROUNDS = 4
 CALLERS = 60
@@ -29,7 +29,7 @@
     }
     for name in sorted(due_s, key=due_s.get):
         time.sleep(max(0.0, due_s[name] - time.monotonic()))
-        callers[name].send(kept.request(f'/second/{name}'))
+        callers[name].send(keep_alive_harness.request(f'/second/{name}'))
 
 
 async def _hold(hold_s):
@@ -41,7 +41,7 @@
 async def _play(server, chance, moment, hold_s, latest_s):
     callers = {n: await server.connect() for n in range(CALLERS)}
     for name, caller in callers.items():
-        caller.send(kept.request(f'/first/{name}'))
+        caller.send(keep_alive_harness.request(f'/first/{name}'))
     for caller in callers.values():
         while not caller.answered():
             assert await caller.read()
@@ -58,7 +58,7 @@
                 server.stop.set()
         nursery.cancel_scope.cancel()
     with trio.fail_after(WAIT_S):
-        await kept.end(server, callers.values())
+        await keep_alive_harness.end(server, callers.values())
     answered = {p for c in callers.values() for p in c.answered()}
     return set(server.app.given) - answered
 
@@ -80,7 +80,7 @@
     chance = random.Random(7)
     lost = []
     for _ in range(ROUNDS):
-        transport = kept.make_transport('tcp', tmp_path)
-        async with kept.running(transport) as server:
+        transport = keep_alive_harness.make_transport('tcp', tmp_path)
+        async with keep_alive_harness.running(transport) as server:
             lost += await _play(server, chance, moment, hold_s, latest_s)
     assert not lost
--- a/test/util/test_checked_call.py
+++ b/test/util/test_leased_call.py
@@ -11,12 +11,12 @@
 
 from gentianstair import errors
 from gentianstair import verdict
-from gentianstair.util import checked_call
+from gentianstair.util import leased_call
 
 # Stops itself in the last look at the clock before the send.
 CHILD = """
 import os, signal, sys, time, trio
-from gentianstair.util import checked_call
+from gentianstair.util import leased_call
 calls = []
 began_s = time.monotonic()
 def check():
@@ -26,7 +26,7 @@
         os.kill(os.getpid(), signal.SIGSTOP)
     return left_s
 async def main():
-    await checked_call.call(
+    await leased_call.call(
         sys.argv[1], 'POST', {'order': 1},
         check=check, lifetime_s=1.0, timeout_s=5.0,
     )
@@ -74,12 +74,12 @@
 TOO_LATE = """
 import sys, trio
 from gentianstair import errors
-from gentianstair.util import checked_call
+from gentianstair.util import leased_call
 async def main():
     try:
-        await checked_call.call(
+        await leased_call.call(
             sys.argv[1], 'POST', {},
-            check=lambda: float(sys.argv[2]) * checked_call.ARM_S,
+            check=lambda: float(sys.argv[2]) * leased_call.TIMER_MARGIN_S,
             lifetime_s=1.0, timeout_s=5.0,
         )
     except errors.LeaseLostError:
@@ -112,14 +112,12 @@
         url = f'http://127.0.0.1:{server.getsockname()[1]}/orders'
         terms = {'lifetime_s': 0.2, 'timeout_s': 0.2}
         with pytest.raises(errors.LeaseLostError):
-            await checked_call.call(url, 'POST', {}, check=lapsed, **terms)
+            await leased_call.call(url, 'POST', {}, check=lapsed, **terms)
         with pytest.raises(errors.UpstreamError) as caught:
-            await checked_call.call(
-                url, 'POST', {}, check=lambda: 9.0, **terms
-            )
+            await leased_call.call(url, 'POST', {}, check=lambda: 9.0, **terms)
         assert caught.value.verdict is verdict.Verdict.MAY_HAVE_RUN
     with pytest.raises(errors.UpstreamError) as caught:
-        await checked_call.call(url, 'POST', {}, check=lambda: 9.0, **terms)
+        await leased_call.call(url, 'POST', {}, check=lambda: 9.0, **terms)
     assert caught.value.verdict is verdict.Verdict.NOT_RUN
 
 
@@ -140,7 +138,7 @@
             waiting.append(sock)
         url = f'http://127.0.0.1:{address[1]}/usage'
         with pytest.raises(errors.UpstreamError) as caught:
-            await checked_call.call(
+            await leased_call.call(
                 url,
                 'POST',
                 {},
--- a/test/util/test_line_writer.py
+++ b/test/util/test_line_writer.py
@@ -65,7 +65,7 @@
         for _ in range(400):
             writer.write('{}\n')
         written += drain(read_fd).count(b'{}')
-    most = line_writer.BURST_LINES + 10 * line_writer.LINES_PER_S
+    most = line_writer.MAX_BURST_LINES + 10 * line_writer.LINES_PER_S
     assert 0.9 * most < written <= most + 1
 
 
@@ -86,7 +86,7 @@
     reader = threading.Thread(target=read)
     reader.start()
     writer.drain(WAIT_S)
-    writer.admit_last()
+    writer.allow_one_line()
     writer.write('last\n')
     writer.drain(WAIT_S)
     reader.join()
--- a/test/util/test_steady_wall.py
+++ b/test/util/test_steady_wall_clock.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gentianstair.util import steady_wall
+from gentianstair.util import steady_wall_clock
 
 
 @pytest.mark.parametrize(
@@ -19,7 +19,9 @@
 def test_jumps(jumps, expected_s):
     now_s = 0.0
     off_s = 0.0
-    wall = steady_wall.SteadyWall(lambda: 1e9 + now_s + off_s, lambda: now_s)
+    wall = steady_wall_clock.SteadyWallClock(
+        lambda: 1e9 + now_s + off_s, lambda: now_s
+    )
     for now_s, off_s in jumps:  # noqa: B007
         found_s = wall()
     assert found_s - 1e9 - now_s == pytest.approx(expected_s)
--- a/test/util/test_tls.py
+++ b/test/util/test_tls.py
@@ -65,7 +65,7 @@
             serialization.NoEncryption(),
         )
         private.write_bytes(text)
-        return tls.Files(str(cert), str(private), str(self.path))
+        return tls.CertificateFiles(str(cert), str(private), str(self.path))
 
 
 @pytest.fixture
@@ -154,13 +154,13 @@
     folder = _folder(tmp_path, 'a')
     files = authority.issue(folder, 'old')
     pair = tls.make_peer_credentials(files)
-    assert not pair.check()
+    assert not pair.reload_if_changed()
     key = None
     if new_key == 'other type':
         key = rsa.generate_private_key(65537, 2048)
     authority.issue(folder, 'new', key)
-    assert pair.check()
-    assert not pair.check()
+    assert pair.reload_if_changed()
+    assert not pair.reload_if_changed()
     seen = await _meet(pair.server, pair.client)
     assert seen == {'client': 'new', 'server': 'new'}
 
@@ -178,7 +178,7 @@
     )
     await _meet(pair.server, old.client)
     Authority(tmp_path).issue(tmp_path / 'a', 'vm-1')
-    assert pair.check()
+    assert pair.reload_if_changed()
     # The stranger accepts us, so only we can refuse.
     old.client.load_verify_locations(str(authority.path))
     assert await _is_refused(pair.server, old.client)
@@ -204,11 +204,11 @@
         pathlib.Path(files.cert).write_bytes(cert)
         if damage == 'garbage':
             key.write_text('half')
-    assert not pair.check()
+    assert not pair.reload_if_changed()
     seen = await _meet(pair.server, pair.client)
     assert seen == {'client': 'old', 'server': 'old'}
     authority.issue(folder, 'new')
-    assert pair.check()
+    assert pair.reload_if_changed()
     seen = await _meet(pair.server, pair.client)
     assert seen == {'client': 'new', 'server': 'new'}
 
@@ -254,7 +254,7 @@
             nursery.start_soon(serving.serve, app, sock, *stop)
             assert await ask() == 'old'
             authority.issue(folder, 'new')
-            assert made.check()
+            assert made.reload_if_changed()
             assert await ask() == 'new'
             nursery.cancel_scope.cancel()
 
@@ -262,15 +262,15 @@
 @pytest.mark.parametrize(
     ('files', 'said'),
     [
-        (tls.Files('c', ''), 'together'),
-        (tls.Files('c', 'k'), '--peer-tls-ca-file'),
-        (tls.Files('/nowhere/c', '/nowhere/k', 'a'), '/nowhere/c'),
+        (tls.CertificateFiles('c', ''), 'together'),
+        (tls.CertificateFiles('c', 'k'), '--peer-tls-ca-file'),
+        (tls.CertificateFiles('/nowhere/c', '/nowhere/k', 'a'), '/nowhere/c'),
     ],
 )
 def test_bad_files_stop_the_start(files, said):
     with pytest.raises(errors.SettingsError, match=said):
         tls.make_peer_credentials(files)
-    assert tls.make_peer_credentials(tls.Files('', '')) is None
+    assert tls.make_peer_credentials(tls.CertificateFiles('', '')) is None
 
 
 @pytest.mark.parametrize(
@@ -288,7 +288,7 @@
 )
 def test_plain_is_for_loopback(address, allowed, fine):
     if fine:
-        tls.check_plain(address, allowed, '--listen')
+        tls.check_plaintext_allowed(address, allowed, '--listen')
         return
     with pytest.raises(errors.SettingsError, match='--insecure-plain'):
-        tls.check_plain(address, allowed, '--listen')
+        tls.check_plaintext_allowed(address, allowed, '--listen')
