--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -53,7 +53,7 @@
 from gentianstair.util import line_writer
 from gentianstair.util import logs
 from gentianstair.util import serving
-from gentianstair.util import steady_wall
+from gentianstair.util import steady_wall_clock
 
 # How long new connections are accepted after a stop is requested. The load
 # balancer checks readiness each second and needs two failures to notice.
@@ -92,7 +92,7 @@
     now = clock.boottime_s
     store = objects.connect(vm_settings.store_address, vm_settings.vm)
     bounds = vm_settings.bounds
-    wall_clock = steady_wall.SteadyWall(time.time, now)
+    wall_clock = steady_wall_clock.SteadyWallClock(time.time, now)
     counts = usage_counter.UsageCounter(wall_clock, bounds.usage_window_s)
     name = f'{vm_settings.vm}.{settled.new_nonce()}'
     record = memberships.Record(
@@ -344,7 +344,7 @@
     env_settings: environment.EnvironmentSettings = environment.DEFAULTS,
 ) -> None:
     """Serve until stopped, then let running requests complete."""
-    stop_requested = serving.catch_stop()
+    stop_requested = serving.watch_stop_signals()
     live = deployment.LiveSettings(vm_settings)
     callers = serving.listen(vm_settings.callers_address)
     ready_sock = serving.listen(vm_settings.ready_address)
@@ -381,7 +381,7 @@
                 connection_grace_s(vm_settings.bounds.grace_s)
                 - BALANCER_DRAIN_S,
                 keep_alive_s=env_settings.keep_alive_s,
-                least_keep_alive_s=functools.partial(_idle_limit_s, node),
+                min_keep_alive_s=functools.partial(_idle_limit_s, node),
             )
             duty_nursery.cancel_scope.cancel()
         with trio.move_on_after(FINAL_WRITES_S / 2):
@@ -406,11 +406,13 @@
     """
     reason = '; '.join(f'{type(e).__name__}: {e}' for e in _leaf_errors(error))
     writer.drain(LAST_LINE_TIMEOUT_S)
-    writer.admit_last()
+    writer.allow_one_line()
     loguru.logger.opt(exception=error).bind(
         event=events.ENDED,
         error=reason,
-        requests_cut=connections.requests_cut(connections.End.PROCESS_ENDED),
+        requests_cut=connections.count_cut(
+            connections.EndReason.PROCESS_ENDED
+        ),
     ).critical('the process exits on an unexpected error')
     writer.drain(LAST_LINE_TIMEOUT_S)
 
