--- a/gentianstair/gateway/autoscaler.py
+++ b/gentianstair/gateway/autoscaler.py
@@ -11,7 +11,7 @@
 from gentianstair.gateway import node as nodes
 from gentianstair.gateway import store_watch
 from gentianstair.generated import events
-from gentianstair.platform import cloud as clouds
+from gentianstair.platform import cloud_client
 from gentianstair.store import settled
 
 BASELINE_KIND = 'fleet-baseline'
@@ -31,7 +31,7 @@
     def __init__(
         self,
         node: nodes.Node,
-        cloud: clouds.Cloud,
+        cloud: cloud_client.CloudClient,
         store_health: store_watch.StoreHealth,
     ) -> None:
         self._node = node
--- a/gentianstair/gateway/cache_watch.py
+++ b/gentianstair/gateway/cache_watch.py
@@ -12,7 +12,7 @@
 from gentianstair.gateway import node as nodes
 from gentianstair.gateway import replicas
 from gentianstair.generated import events
-from gentianstair.platform import wire
+from gentianstair.platform import http_codec
 
 # Long-poll timeout at the replica. The platform counts shorter ones as
 # probes.
@@ -70,16 +70,18 @@
     with scope:
         while True:
             try:
-                request = wire.cache_events_request(
+                request = http_codec.cache_events_request(
                     replica.address,
                     since,
                     POLL_TIMEOUT_S,
                     forward.CONNECT_TIMEOUT_S,
                 )
-                changes = wire.decode_cache_events(await _call(node, request))
+                changes = http_codec.decode_cache_events(
+                    await _call(node, request)
+                )
                 if epoch is not None and changes.epoch != epoch:
                     node.cache_news.forget(replica.name)
-                epoch, since = changes.epoch, changes.next
+                epoch, since = changes.epoch, changes.next_sequence
                 _apply(
                     node, replica, changes, node.roster.shares_cache_updates()
                 )
@@ -100,7 +102,7 @@
 def _apply(
     node: nodes.Node,
     replica: replicas.Replica,
-    changes: wire.CacheChanges,
+    changes: http_codec.CacheChanges,
     to_hubs: bool,
 ) -> None:
     for part, sequence, tokens in changes.changes:
@@ -124,12 +126,12 @@
     ).info('missed changes of a replica cache')
     if not lists_cache:
         return since
-    request = wire.cache_list_request(
+    request = http_codec.cache_list_request(
         replica.address, forward.CONNECT_TIMEOUT_S
     )
-    listing = wire.decode_cache_list(await _call(node, request))
+    listing = http_codec.decode_cache_list(await _call(node, request))
     _apply(node, replica, listing, to_hubs=True)
-    return listing.next
+    return listing.next_sequence
 
 
 async def _call(node: nodes.Node, request: httpx.Request) -> bytes:
--- a/gentianstair/gateway/forward.py
+++ b/gentianstair/gateway/forward.py
@@ -13,7 +13,7 @@
 from gentianstair.gateway import calls
 from gentianstair.gateway import node as nodes
 from gentianstair.generated import events
-from gentianstair.platform import wire
+from gentianstair.platform import http_codec
 from gentianstair.upstreams import transport
 
 # A replica that has lost power or is partitioned does not refuse connections,
@@ -45,7 +45,7 @@
     Closing it early cancels the work. Raise UpstreamError with a verdict on
     whether the request may have run.
     """
-    request = wire.encode_sending(call, attempt, CONNECT_TIMEOUT_S)
+    request = http_codec.encode_attempt(call, attempt, CONNECT_TIMEOUT_S)
     response = await node.transport.handle_async_request(request)
     try:
         yield response
@@ -64,9 +64,9 @@
     body = await read_body(response)
     return ReplicaResponse(
         response.status_code,
-        wire.answer_headers(response),
+        http_codec.response_headers(response),
         body,
-        wire.verdict_of(response),
+        http_codec.verdict_of(response),
     )
 
 
@@ -82,7 +82,7 @@
     node: nodes.Node, replica: str, source: calls.KvSource
 ) -> None:
     """Free a prefilled KV cache that no replica will fetch."""
-    request = wire.release_kv_request(replica, source, CONNECT_TIMEOUT_S)
+    request = http_codec.release_kv_request(replica, source, CONNECT_TIMEOUT_S)
     reason = 'no answer in time'
     with trio.move_on_after(CONNECT_TIMEOUT_S * 2):
         try:
--- a/gentianstair/gateway/handler.py
+++ b/gentianstair/gateway/handler.py
@@ -19,7 +19,7 @@
 from gentianstair.gateway import streaming
 from gentianstair.gateway import unary
 from gentianstair.generated import events
-from gentianstair.platform import wire
+from gentianstair.platform import http_codec
 from gentianstair.util import connections
 
 # Retry-After of a process that has no configuration yet; it gets one as soon
@@ -167,7 +167,7 @@
             # A truncated response must not look complete.
             raise exchanges.CallerDisconnectedError(f'cut off: {error.detail}')
         call = self._call
-        headers = wire.refusal_headers(
+        headers = http_codec.error_headers(
             call.request_id if call else '', error.retry_after_s
         )
         loguru.logger.bind(
@@ -190,7 +190,7 @@
 
     async def _serve(self) -> None:
         node, exchange = self._node, self._exchange
-        call = self._call = wire.decode_call(
+        call = self._call = http_codec.decode_call(
             exchange.method,
             exchange.raw_path,
             exchange.query,
--- a/gentianstair/gateway/leader_tasks.py
+++ b/gentianstair/gateway/leader_tasks.py
@@ -15,7 +15,7 @@
 from gentianstair.gateway import members as memberships
 from gentianstair.gateway import usage_counter
 from gentianstair.generated import events
-from gentianstair.platform import cloud as clouds
+from gentianstair.platform import cloud_client
 from gentianstair.store import settled
 from gentianstair.store import store as stores
 
@@ -54,7 +54,7 @@
         self,
         store: stores.Store,
         members: memberships.Members,
-        cloud: clouds.Cloud,
+        cloud: cloud_client.CloudClient,
         counts: usage_counter.UsageCounter,
         timing: ReportTiming,
         wall: typing.Callable[[], float],
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -41,11 +41,11 @@
 from gentianstair.gateway import store_watch
 from gentianstair.gateway import usage_counter
 from gentianstair.generated import events
-from gentianstair.platform import cloud
+from gentianstair.platform import cloud_client
 from gentianstair.platform import configuration
-from gentianstair.platform import objects
-from gentianstair.platform import registry
-from gentianstair.platform import settings
+from gentianstair.platform import object_store
+from gentianstair.platform import registry_entries
+from gentianstair.platform import settings_file
 from gentianstair.store import settled
 from gentianstair.upstreams import transport
 from gentianstair.util import clock
@@ -90,7 +90,7 @@
     """Return the components of a process for a deployment."""
     vm_settings = live.current
     now = clock.boottime_s
-    store = objects.connect(vm_settings.store_address, vm_settings.vm)
+    store = object_store.connect(vm_settings.store_address, vm_settings.vm)
     bounds = vm_settings.bounds
     wall_clock = steady_wall.SteadyWall(time.time, now)
     counts = usage_counter.UsageCounter(wall_clock, bounds.usage_window_s)
@@ -117,7 +117,9 @@
     leases = lease.make_lease_manager(
         store, name, now, leader_tasks.lease_terms(bounds.lease_s)
     )
-    platform = cloud.Cloud(vm_settings.duties_address, vm_settings.vm)
+    platform = cloud_client.CloudClient(
+        vm_settings.duties_address, vm_settings.vm
+    )
     touch = store_watch.StoreHealth(now)
     reporter = leader_tasks.UsageReporter(
         store,
@@ -142,7 +144,7 @@
 
 def _make_node(
     live: deployment.LiveSettings,
-    store: objects.ObjectStore,
+    store: object_store.ObjectStore,
     counts: usage_counter.UsageCounter,
     members: memberships.Members,
     costs: prefill_costs.PrefillCosts,
@@ -219,7 +221,7 @@
             functools.partial(_apply_catalog, node),
         ),
         store_watch.replica_source(
-            registry.decode, registry.KIND, node.registry
+            registry_entries.decode, registry_entries.KIND, node.registry
         ),
     ]
 
@@ -351,7 +353,7 @@
     async with trio.open_nursery() as nursery:
         process = make_process_parts(live, nursery)
         node = process.node
-        reloader = reload.Reloader(file, live, settings.read)
+        reloader = reload.Reloader(file, live, settings_file.read)
         nursery.start_soon(reloader.run)
         apps = [(monitoring.make_readiness_app(node), ready_sock)]
         if env_settings.metrics_port is not None:
@@ -430,8 +432,8 @@
 def main() -> None:
     """Read the settings and run; print a settings error as one line."""
     try:
-        file = settings.path()
-        _run(file, settings.read(file))
+        file = settings_file.path()
+        _run(file, settings_file.read(file))
     except errors.UserError as error:
         print(error, file=sys.stderr)
         sys.exit(1)
--- a/gentianstair/gateway/remote_prefill.py
+++ b/gentianstair/gateway/remote_prefill.py
@@ -16,7 +16,7 @@
 from gentianstair.gateway import replicas
 from gentianstair.gateway import request_state
 from gentianstair.gateway import run_record
-from gentianstair.platform import wire
+from gentianstair.platform import http_codec
 
 
 class _HeldKv(typing.NamedTuple):
@@ -85,7 +85,7 @@
         answer = None
         try:
             answer = await forward.fetch_response(node, request.call, sending)
-            source = wire.decode_handle(
+            source = http_codec.decode_prefill_response(
                 replica.address, answer.status, answer.body
             )
         except errors.UpstreamError as error:
@@ -135,7 +135,7 @@
             return
         restarted = (
             isinstance(error, errors.TurnedAwayError)
-            and error.status == wire.HTTP_MISDIRECTED
+            and error.status == http_codec.HTTP_MISDIRECTED
         )
         if not restarted:
             # The failure may be that the KV cache could not be fetched.
--- a/gentianstair/gateway/streaming.py
+++ b/gentianstair/gateway/streaming.py
@@ -22,7 +22,7 @@
 from gentianstair.gateway import request_state
 from gentianstair.gateway import run_record
 from gentianstair.generated import events
-from gentianstair.platform import wire
+from gentianstair.platform import http_codec
 
 # A replica is considered lost when its stream pauses for this many times the
 # route's pause objective. Callers give up after eight times.
@@ -236,7 +236,7 @@
         self, response: httpx.Response, run: run_record.ReplicaRun
     ) -> None:
         request = self._request
-        verdict = wire.verdict_of(response)
+        verdict = http_codec.verdict_of(response)
         if response.status_code != 200:
             await self._handle_non_stream(response, verdict)
             return
@@ -279,7 +279,9 @@
         request = self._request
         if not request.exchange.started:
             request.first_event_s = request.node.clock()
-            await request.exchange.start(200, wire.answer_headers(response))
+            await request.exchange.start(
+                200, http_codec.response_headers(response)
+            )
 
     async def _handle_non_stream(
         self, response: httpx.Response, verdict: verdicts.Verdict
--- a/gentianstair/platform/cloud.py
+++ b/gentianstair/platform/cloud_client.py
@@ -10,11 +10,11 @@
 # The call is dropped when it was not delivered for this long. It must be
 # well below what is left of a lease that was just renewed, and many times
 # the few milliseconds that a call takes.
-LIFETIME_S = 0.6
-TIMEOUT_S = 0.8
+CALL_LIFETIME_S = 0.6
+CALL_TIMEOUT_S = 0.8
 
 
-class Cloud:
+class CloudClient:
     """Report usage and order replicas, with the holder's epoch."""
 
     def __init__(self, address: str, vm: str) -> None:
@@ -63,9 +63,9 @@
             f'http://{self._address}{path}',
             'POST',
             body,
-            check=lambda: authority.check(LIFETIME_S),
-            lifetime_s=LIFETIME_S,
-            timeout_s=TIMEOUT_S,
+            check=lambda: authority.check(CALL_LIFETIME_S),
+            lifetime_s=CALL_LIFETIME_S,
+            timeout_s=CALL_TIMEOUT_S,
             headers={
                 'X-Lease-Holder': self._vm,
                 'X-Fencing-Token': str(authority.epoch),
--- a/gentianstair/platform/configuration.py
+++ b/gentianstair/platform/configuration.py
@@ -9,7 +9,7 @@
 
 KIND = 'config'
 NAME = 'main'
-LEAST_URGENT = 9
+LOWEST_PRIORITY = 9
 
 _KINDS = {
     'idempotent': catalog.CallKind.IDEMPOTENT,
@@ -31,7 +31,7 @@
     timeout_ms: float
     target_latency_ms: float = 1000.0
     target_gap_ms: float = 0.0
-    priority: int = LEAST_URGENT
+    priority: int = LOWEST_PRIORITY
     service: str | None = None
     traffic_split: list[_Target] | None = None
     max_attempts: int = 1
--- a/gentianstair/platform/wire.py
+++ b/gentianstair/platform/http_codec.py
@@ -12,7 +12,7 @@
 from gentianstair.gateway import calls
 
 # Headers that concern one connection only.
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b'connection',
         b'keep-alive',
@@ -25,7 +25,7 @@
     }
 )
 # Headers of the system; whatever a caller puts there goes no further.
-OWN = frozenset(
+GATEWAY_HEADERS = frozenset(
     {
         b'authorization',
         b'content-length',
@@ -43,60 +43,65 @@
         b'last-event-id',
     }
 )
-SCHEME = 'bearer '
-REQUEST_ID = b'x-request-id'
-SIGNATURE = b'x-response-signature'
+BEARER_PREFIX = 'bearer '
+REQUEST_ID_HEADER = b'x-request-id'
+SIGNATURE_HEADER = b'x-response-signature'
 # Says that the replica did not run the request.
-NOT_EXECUTED = b'x-not-executed'
+NOT_EXECUTED_HEADER = b'x-not-executed'
 # Another replica has the address; it did not run the request either.
 HTTP_MISDIRECTED = 421
-READS_PROMPTS = 'prefill'
-LEAST_LEFT_MS = 1
-LAST_URGENCY = 9
+PREFILL_STAGE = 'prefill'
+MIN_DEADLINE_MS = 1
+LOWEST_PRIORITY = 9
 # What a header can carry unchanged.
-_HANDLE = re.compile(r'[!-~]{1,256}')
+_KV_HANDLE_PATTERN = re.compile(r'[!-~]{1,256}')
 
 
-def _fields(headers: calls.Headers) -> dict[bytes, bytes]:
+def _headers_by_name(headers: calls.Headers) -> dict[bytes, bytes]:
     """Return headers by name; one that comes twice is refused.
 
     Two readers could otherwise take different ones for the right one.
     """
     found: dict[bytes, bytes] = {}
     for name, value in headers:
-        if name in found and name in _ONCE:
-            raise _bad(f'{name.decode()} is given more than once')
+        if name in found and name in _SINGLE_VALUE_HEADERS:
+            raise _bad_request(f'{name.decode()} is given more than once')
         found[name] = value
     return found
 
 
-_ONCE = OWN | {b'host', REQUEST_ID, b'x-model', b'x-token-count'}
+_SINGLE_VALUE_HEADERS = GATEWAY_HEADERS | {
+    b'host',
+    REQUEST_ID_HEADER,
+    b'x-model',
+    b'x-token-count',
+}
 
 
-def _bad(detail: str) -> errors.RequestError:
+def _bad_request(detail: str) -> errors.RequestError:
     return errors.RequestError(400, 'bad-request', detail)
 
 
-def _text(fields: dict[bytes, bytes], name: bytes) -> str | None:
+def _header_text(fields: dict[bytes, bytes], name: bytes) -> str | None:
     value = fields.get(name)
     return None if value is None else value.decode('latin-1')
 
 
-def _patience_s(fields: dict[bytes, bytes]) -> float | None:
-    text = _text(fields, b'x-request-deadline-ms')
+def _timeout_s(fields: dict[bytes, bytes]) -> float | None:
+    text = _header_text(fields, b'x-request-deadline-ms')
     if text is None:
         return None
     try:
         return max(0.0, float(text) / 1000)
     except ValueError:
-        raise _bad('the deadline is no number')
+        raise _bad_request('the deadline is no number')
 
 
-def _key(fields: dict[bytes, bytes]) -> str | None:
-    text = _text(fields, b'authorization')
-    if text is None or not text.lower().startswith(SCHEME):
+def _api_key(fields: dict[bytes, bytes]) -> str | None:
+    text = _header_text(fields, b'authorization')
+    if text is None or not text.lower().startswith(BEARER_PREFIX):
         return None
-    return text[len(SCHEME) :].strip()
+    return text[len(BEARER_PREFIX) :].strip()
 
 
 def decode_prompt(
@@ -128,12 +133,12 @@
     method: str, raw_path: bytes, query: bytes, headers: calls.Headers
 ) -> calls.Call:
     """Return a caller's request; raise RequestError if it is none."""
-    fields = _fields(headers)
-    host = (_text(fields, b'host') or '').lower()
+    fields = _headers_by_name(headers)
+    host = (_header_text(fields, b'host') or '').lower()
     host = host.rpartition(':')[0] or host
     path = raw_path.decode('latin-1')
     return calls.Call(
-        request_id=_text(fields, REQUEST_ID) or '',
+        request_id=_header_text(fields, REQUEST_ID_HEADER) or '',
         method=method,
         target=raw_path + (b'?' + query if query else b''),
         host=host,
@@ -141,49 +146,49 @@
         headers=[
             (name, value)
             for name, value in headers
-            if name not in HOP_BY_HOP and name not in OWN
+            if name not in HOP_BY_HOP_HEADERS and name not in GATEWAY_HEADERS
         ],
-        api_key=_key(fields),
-        timeout_s=_patience_s(fields),
-        last_event_id=_text(fields, b'last-event-id'),
+        api_key=_api_key(fields),
+        timeout_s=_timeout_s(fields),
+        last_event_id=_header_text(fields, b'last-event-id'),
         prompt=decode_prompt(
-            _text(fields, b'x-model'),
-            _text(fields, b'x-token-count'),
-            _text(fields, b'x-prefix-hash'),
+            _header_text(fields, b'x-model'),
+            _header_text(fields, b'x-token-count'),
+            _header_text(fields, b'x-prefix-hash'),
         ),
     )
 
 
-def encode_sending(
-    call: calls.Call, sending: calls.Attempt, connect_s: float
+def encode_attempt(
+    call: calls.Call, attempt: calls.Attempt, connect_s: float
 ) -> httpx.Request:
     """Return the request as a replica gets it."""
-    replica = sending.replica
-    left_ms = max(LEAST_LEFT_MS, int(sending.remaining_s * 1000))
+    replica = attempt.replica
+    left_ms = max(MIN_DEADLINE_MS, int(attempt.remaining_s * 1000))
     headers = list(call.headers)
     headers.append((b'x-expect-instance', replica.name.encode()))
     headers.append((b'x-request-deadline-ms', b'%d' % left_ms))
-    if sending.customer is not None:
-        headers.append((b'x-tenant', sending.customer.encode()))
-    if sending.last_event_id is not None:
-        headers.append((b'last-event-id', sending.last_event_id.encode()))
-    if sending.prefill_only:
-        headers.append((b'x-stage', READS_PROMPTS.encode()))
-    if sending.kv_source is not None:
-        source = f'{sending.kv_source.address}/{sending.kv_source.handle}'
+    if attempt.customer is not None:
+        headers.append((b'x-tenant', attempt.customer.encode()))
+    if attempt.last_event_id is not None:
+        headers.append((b'last-event-id', attempt.last_event_id.encode()))
+    if attempt.prefill_only:
+        headers.append((b'x-stage', PREFILL_STAGE.encode()))
+    if attempt.kv_source is not None:
+        source = f'{attempt.kv_source.address}/{attempt.kv_source.handle}'
         headers.append((b'x-kv-source', source.encode()))
-    if sending.kv_copy_address is not None:
-        headers.append((b'kv-fetch', sending.kv_copy_address.encode()))
-    if sending.priority is not None:
-        urgency = min(LAST_URGENCY, sending.priority)
+    if attempt.kv_copy_address is not None:
+        headers.append((b'kv-fetch', attempt.kv_copy_address.encode()))
+    if attempt.priority is not None:
+        urgency = min(LOWEST_PRIORITY, attempt.priority)
         headers.append((b'x-request-priority', b'%d' % urgency))
-    if sending.body or call.method in ('POST', 'PUT', 'PATCH'):
-        headers.append((b'content-length', b'%d' % len(sending.body)))
+    if attempt.body or call.method in ('POST', 'PUT', 'PATCH'):
+        headers.append((b'content-length', b'%d' % len(attempt.body)))
     return httpx.Request(
         call.method,
         f'http://{replica.address}/',
         headers=headers,
-        content=sending.body,
+        content=attempt.body,
         extensions={
             'target': call.target,
             'answer_id': call.request_id.encode() or None,
@@ -205,12 +210,13 @@
     )
 
 
-def answer_headers(response: httpx.Response) -> calls.Headers:
+def response_headers(response: httpx.Response) -> calls.Headers:
     """Return a replica's headers as they go on to the caller."""
     return [
         (name.lower(), value)
         for name, value in response.headers.raw
-        if name.lower() not in HOP_BY_HOP and name.lower() != b'content-length'
+        if name.lower() not in HOP_BY_HOP_HEADERS
+        and name.lower() != b'content-length'
     ]
 
 
@@ -218,25 +224,25 @@
     """Return whether the replica ran the request that it answered."""
     if response.status_code == HTTP_MISDIRECTED:
         return verdicts.Verdict.NOT_RUN
-    if NOT_EXECUTED.decode() in response.headers:
+    if NOT_EXECUTED_HEADER.decode() in response.headers:
         return verdicts.Verdict.NOT_RUN
     return verdicts.Verdict.RAN
 
 
-class _PromptRead(msgspec.Struct):
+class _PrefillResponse(msgspec.Struct):
     kv_handle: str
     tokens: int = 0
 
 
-def decode_handle(
+def decode_prefill_response(
     replica_address: str, status: int, body: bytes
 ) -> calls.KvSource:
     """Return where the KV cache of a prompt lies that was just read."""
     try:
         if status != 200:
             raise ValueError(f'status {status}')
-        found = msgspec.json.decode(body, type=_PromptRead)
-        if not _HANDLE.fullmatch(found.kv_handle):
+        found = msgspec.json.decode(body, type=_PrefillResponse)
+        if not _KV_HANDLE_PATTERN.fullmatch(found.kv_handle):
             raise ValueError('its handle is none')
     except (msgspec.DecodeError, ValueError) as error:
         raise errors.UpstreamError(
@@ -245,7 +251,7 @@
     return calls.KvSource(replica_address, found.kv_handle)
 
 
-def refusal_headers(
+def error_headers(
     request_id: str, retry_after_s: float | None
 ) -> calls.Headers:
     """Return the headers of an answer of the system's own.
@@ -254,13 +260,13 @@
     """
     headers: calls.Headers = []
     if request_id:
-        headers.append((REQUEST_ID, request_id.encode('latin-1')))
+        headers.append((REQUEST_ID_HEADER, request_id.encode('latin-1')))
     if retry_after_s is not None:
         headers.append((b'retry-after', b'%.2f' % retry_after_s))
     return headers
 
 
-class _CacheEvents(msgspec.Struct):
+class _CacheEventsResponse(msgspec.Struct):
     # Changes when the replica starts again.
     epoch: typing.Any
     next: int
@@ -274,7 +280,7 @@
 
     part: str
     # The replica's count of its changes.
-    number: int
+    sequence: int
     # Tokens kept now; 0 when it is gone.
     tokens: int
 
@@ -283,7 +289,7 @@
     """What changed in a replica's cache since the last look."""
 
     epoch: str
-    next: int
+    next_sequence: int
     lost: bool
     changes: list[CacheChange]
 
@@ -303,7 +309,7 @@
 def decode_cache_events(body: bytes) -> CacheChanges:
     """Return the changes in an answer; raise DecodeError."""
     try:
-        found = msgspec.json.decode(body, type=_CacheEvents)
+        found = msgspec.json.decode(body, type=_CacheEventsResponse)
         changes = []
         for row in found.events:
             number, sign, _, part, tokens = row[:5]
@@ -316,7 +322,7 @@
     )
 
 
-class _CacheList(msgspec.Struct):
+class _CacheListResponse(msgspec.Struct):
     epoch: typing.Any
     next: int
     held: list[list[typing.Any]] = []
@@ -337,7 +343,7 @@
     Raise DecodeError.
     """
     try:
-        found = msgspec.json.decode(body, type=_CacheList)
+        found = msgspec.json.decode(body, type=_CacheListResponse)
         changes = []
         for row in found.held:
             _, part, tokens = row[:3]
--- a/gentianstair/platform/objects.py
+++ b/gentianstair/platform/object_store.py
@@ -23,7 +23,7 @@
 CALL_TIMEOUT_S = 1.0
 # Added to a watch's own time limit before its connection counts as dead.
 WATCH_GRACE_S = 0.5
-MAX_ANSWER_BYTES = 16 * 1024 * 1024
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 
 
 class _Meta(msgspec.Struct):
@@ -48,7 +48,7 @@
     tombstone: bool = False
 
 
-class _Events(msgspec.Struct):
+class _EventList(msgspec.Struct):
     events: list[_Event]
     store_revision: int
 
@@ -94,7 +94,7 @@
                 response = await self._transport.handle_async_request(request)
                 try:
                     content = await transports.read_all(
-                        response, MAX_ANSWER_BYTES
+                        response, MAX_RESPONSE_BYTES
                     )
                     return response.status_code, content
                 finally:
@@ -103,13 +103,15 @@
             # A cut that has healed leaves connections of before it silent;
             # each would cost a call its whole time before it shows.
             self._transport.forget(self._address)
-            raise self._lost(method, 'no answer in time') from error
+            raise self._lost_response_error(
+                method, 'no answer in time'
+            ) from error
         except errors.UpstreamError as error:
             if error.verdict is verdicts.Verdict.NOT_RUN:
                 raise errors.StoreUnavailableError(str(error)) from error
-            raise self._lost(method, str(error)) from error
+            raise self._lost_response_error(method, str(error)) from error
 
-    def _lost(self, method: str, why: str) -> errors.StoreError:
+    def _lost_response_error(self, method: str, why: str) -> errors.StoreError:
         # A read has no effect, so its loss is known to have had none.
         if method == 'GET':
             return errors.StoreUnavailableError(why)
@@ -122,8 +124,8 @@
         status, body = await self._call('GET', _path(kind, name))
         if status == 404:
             return store.StoredObject(kind, name, 0, None)
-        _check(status, body)
-        return _object(kind, body)
+        _check_status(status, body)
+        return _decode_object(kind, body)
 
     async def list(
         self, kind: str, *, purpose: str, prefix: str = ''
@@ -139,11 +141,11 @@
         while True:
             params = {'after': after} if after else None
             status, body = await self._call('GET', _path(kind), params)
-            _check(status, body)
+            _check_status(status, body)
             page = _decode(body, _List)
             if revision is None:
                 revision = page.store_revision
-            items = [_listed(kind, raw) for raw in page.items]
+            items = [_decode_item(kind, raw) for raw in page.items]
             found += [item for item in items if item is not None]
             last = _last_name(page)
             if not page.truncated or not last:
@@ -169,14 +171,18 @@
         else:
             body = {'metadata': {'name': name}, 'spec': value}
             answer = await self._call('POST', _path(kind), body=body)
-        return self._written(kind, name, *answer)
+        return self._written_version(kind, name, *answer)
 
-    def _written(self, kind: str, name: str, status: int, body: bytes) -> int:
+    def _written_version(
+        self, kind: str, name: str, status: int, body: bytes
+    ) -> int:
         if status == 409 or status == 404:
             # A missing object has no version that could be expected.
-            raise errors.StoreConflictError(kind, name, _conflicting(body))
-        _check(status, body)
-        return _object(kind, body).version
+            raise errors.StoreConflictError(
+                kind, name, _conflicting_version(body)
+            )
+        _check_status(status, body)
+        return _decode_object(kind, body).version
 
     async def delete(
         self, kind: str, name: str, expect_version: int, *, purpose: str
@@ -186,8 +192,10 @@
             'DELETE', _path(kind, name), {'revision': expect_version}
         )
         if status in (404, 409):
-            raise errors.StoreConflictError(kind, name, _conflicting(body))
-        _check(status, body)
+            raise errors.StoreConflictError(
+                kind, name, _conflicting_version(body)
+            )
+        _check_status(status, body)
         return expect_version
 
     async def watch(
@@ -209,11 +217,11 @@
         )
         if status == 410:
             raise errors.WatchTooOldError(kind)
-        _check(status, body)
-        events = _decode(body, _Events)
+        _check_status(status, body)
+        events = _decode(body, _EventList)
         found = []
         for event in events.events:
-            item = _listed(kind, event.object)
+            item = _decode_item(kind, event.object)
             if item is not None and event.tombstone:
                 item = item._replace(value=None)
             if item is not None:
@@ -227,7 +235,7 @@
     return f'{kind}/{urllib.parse.quote(name, safe="")}'
 
 
-def _check(status: int, body: bytes) -> None:
+def _check_status(status: int, body: bytes) -> None:
     """Raise StoreUnavailableError for a call that was refused."""
     if status not in (200, 201, 202):
         raise errors.StoreUnavailableError(f'{status}: {body[:100]!r}')
@@ -240,13 +248,13 @@
         raise errors.StoreUnavailableError(f'unreadable: {error}') from error
 
 
-def _object(kind: str, body: bytes) -> store.StoredObject:
+def _decode_object(kind: str, body: bytes) -> store.StoredObject:
     found = _decode(body, _Object)
     meta = found.metadata
     return store.StoredObject(kind, meta.name, meta.revision, found.spec)
 
 
-def _listed(kind: str, raw: msgspec.Raw) -> store.StoredObject | None:
+def _decode_item(kind: str, raw: msgspec.Raw) -> store.StoredObject | None:
     """Return one item of a list, or None for one that can't be read.
 
     Others write to the store, too; one bad object must not hide the rest.
@@ -262,7 +270,7 @@
     return store.StoredObject(kind, meta.name, meta.revision, found.spec)
 
 
-class _NamedOnly(msgspec.Struct):
+class _NameOnly(msgspec.Struct):
     metadata: dict[str, typing.Any]
 
 
@@ -270,14 +278,14 @@
     """Return the name after which the next page begins."""
     for raw in reversed(page.items):
         try:
-            meta = msgspec.json.decode(raw, type=_NamedOnly).metadata
+            meta = msgspec.json.decode(raw, type=_NameOnly).metadata
             return str(meta['name'])
         except (msgspec.DecodeError, KeyError):
             continue
     return None
 
 
-def _conflicting(body: bytes) -> int:
+def _conflicting_version(body: bytes) -> int:
     """Return the version that stands, or 0 if the answer has none."""
     try:
         return msgspec.json.decode(body, type=_Object).metadata.revision
--- a/gentianstair/platform/registry.py
+++ b/gentianstair/platform/registry_entries.py
@@ -45,11 +45,11 @@
     try:
         entry = msgspec.convert(item.value, _Entry)
     except (msgspec.ValidationError, TypeError) as error:
-        return _passed_over(item.name, str(error))
+        return _log_skipped(item.name, str(error))
     if not _is_address(entry.address):
-        return _passed_over(item.name, 'its address is none')
+        return _log_skipped(item.name, 'its address is none')
     if entry.state not in (READY, DRAINING) or entry.stage not in STAGES:
-        return _passed_over(item.name, 'its state or stage is unknown')
+        return _log_skipped(item.name, 'its state or stage is unknown')
     return replicas.Replica(
         name=item.name,
         service=entry.service,
@@ -77,7 +77,7 @@
     return True
 
 
-def _passed_over(name: typing.Any, why: str) -> None:
+def _log_skipped(name: typing.Any, why: str) -> None:
     loguru.logger.bind(
         event=events.ENTRY_PASSED_OVER, replica=str(name)
     ).warning('a registry entry was passed over: {}', why)
--- a/gentianstair/platform/settings.py
+++ b/gentianstair/platform/settings_file.py
@@ -8,7 +8,7 @@
 from gentianstair import errors
 from gentianstair.gateway import deployment
 
-FILE_VARIABLE = 'GENTIANSTAIR_NODE_FILE'
+PATH_VARIABLE = 'GENTIANSTAIR_NODE_FILE'
 _MISSING = object()
 
 
@@ -35,7 +35,7 @@
             raise errors.SettingsError(f'{self._path(key)}: is no table')
         return _Table(self._path(key), value)
 
-    def text(self, key: str, default: typing.Any = _MISSING) -> str:
+    def string(self, key: str, default: typing.Any = _MISSING) -> str:
         """Return a text."""
         value = self._get(key, default)
         if not isinstance(value, str):
@@ -57,7 +57,7 @@
             raise errors.SettingsError(f'{self._path(key)}: true or false')
         return value
 
-    def listing(self, key: str, default: typing.Any = _MISSING) -> list:
+    def array(self, key: str, default: typing.Any = _MISSING) -> list:
         """Return a list."""
         value = self._get(key, default)
         if not isinstance(value, list):
@@ -87,15 +87,15 @@
 
 
 def _address(table: _Table, key: str) -> str:
-    value = table.text(key)
+    value = table.string(key)
     host, _, port = value.rpartition(':')
     if not host or not port.isdigit():
         raise errors.SettingsError(f'{key}: {value!r} is no HOST:PORT')
     return value
 
 
-def _texts(table: _Table, key: str) -> tuple[str, ...]:
-    values = table.listing(key, [])
+def _strings(table: _Table, key: str) -> tuple[str, ...]:
+    values = table.array(key, [])
     if not all(isinstance(value, str) for value in values):
         raise errors.SettingsError(f'{key}: must hold texts')
     return tuple(values)
@@ -116,15 +116,15 @@
     cloud = file.table('cloud')
     limits = file.table('limits')
     return deployment.Deployment(
-        vm=file.text('node'),
-        failure_domain=file.text('zone'),
-        region=file.text('region', ''),
-        ip=file.text('ip'),
+        vm=file.string('node'),
+        failure_domain=file.string('zone'),
+        region=file.string('region', ''),
+        ip=file.string('ip'),
         callers_address=_address(listen, 'front'),
         ready_address=_address(listen, 'ready'),
         # The platform calls nothing at this address; peers do.
         peer_address=_address(listen, 'control'),
-        peer_seeds=_texts(file, 'seeds'),
+        peer_seeds=_strings(file, 'seeds'),
         store_address=_address(store, 'address'),
         store_reads_per_s=store.number('reads_per_s'),
         store_writes_per_s=store.number('writes_per_s'),
@@ -142,9 +142,9 @@
 
 def path() -> pathlib.Path:
     """Return where the settings file lies."""
-    value = os.environ.get(FILE_VARIABLE)
+    value = os.environ.get(PATH_VARIABLE)
     if not value:
-        raise errors.SettingsError(f'{FILE_VARIABLE}: is not set')
+        raise errors.SettingsError(f'{PATH_VARIABLE}: is not set')
     return pathlib.Path(value)
 
 
--- a/test/gateway/gateways.py
+++ b/test/gateway/gateways.py
@@ -6,7 +6,7 @@
 import trio
 
 from gentianstair.gateway import main
-from gentianstair.platform import settings
+from gentianstair.platform import settings_file
 from standins import ports
 from test.gateway import samples
 
@@ -93,7 +93,7 @@
 
             async def run(file=file, scope=scope):
                 with scope:
-                    await main.run(file, settings.read(file))
+                    await main.run(file, settings_file.read(file))
 
             nursery.start_soon(run)
         with trio.fail_after(START_S):
@@ -114,6 +114,6 @@
     file = tmp_path / 'settings.toml'
     file.write_text(samples.settings(**values))
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(main.run, file, settings.read(file))
+        nursery.start_soon(main.run, file, settings_file.read(file))
         yield Gateway(values, None)
         nursery.cancel_scope.cancel()
--- a/test/gateway/test_reload.py
+++ b/test/gateway/test_reload.py
@@ -13,12 +13,12 @@
 from gentianstair import errors
 from gentianstair.gateway import deployment
 from gentianstair.gateway import reload
-from gentianstair.platform import settings
+from gentianstair.platform import settings_file
 from test.gateway import samples
 
 
 def read(file):
-    return settings.decode(file.read_text())
+    return settings_file.decode(file.read_text())
 
 
 @pytest.mark.parametrize(
@@ -76,5 +76,5 @@
 
 def test_missing_file_is_reported_in_one_line(tmp_path):
     with pytest.raises(errors.SettingsError) as caught:
-        settings.read(tmp_path / 'none.toml')
+        settings_file.read(tmp_path / 'none.toml')
     assert '\n' not in str(caught.value)
--- a/test/gateway/test_store_watch.py
+++ b/test/gateway/test_store_watch.py
@@ -8,8 +8,8 @@
 from gentianstair.gateway import replicas
 from gentianstair.gateway import store_watch
 from gentianstair.platform import configuration
-from gentianstair.platform import objects
-from gentianstair.platform import registry as decoding
+from gentianstair.platform import object_store
+from gentianstair.platform import registry_entries
 from gentianstair.util import clock
 from standins import memory_store
 from standins.site import site
@@ -42,7 +42,7 @@
     async def run(self):
         sources = [
             store_watch.replica_source(
-                decoding.decode, decoding.KIND, self.registry
+                registry_entries.decode, registry_entries.KIND, self.registry
             ),
             store_watch.config_source(
                 configuration.decode,
@@ -220,13 +220,13 @@
     real = follower.store.watch
 
     async def silent(kinds, after_revision, timeout_s, *, purpose):
-        if kinds != [decoding.KIND]:
+        if kinds != [registry_entries.KIND]:
             return await real(
                 kinds, after_revision, timeout_s, purpose=purpose
             )
         follower.store.watch = real
         follower.write('i-1', written)
-        await trio.sleep(timeout_s + objects.WATCH_GRACE_S)
+        await trio.sleep(timeout_s + object_store.WATCH_GRACE_S)
         raise errors.StoreUnavailableError('no answer in time')
 
     follower.store.watch = silent
--- a/test/platform/test_decoders.py
+++ b/test/platform/test_decoders.py
@@ -11,8 +11,8 @@
 from gentianstair.gateway import calls
 from gentianstair.gateway import catalog
 from gentianstair.platform import configuration
-from gentianstair.platform import registry
-from gentianstair.platform import wire
+from gentianstair.platform import http_codec
+from gentianstair.platform import registry_entries
 from gentianstair.store import store
 from standins.site import site
 
@@ -47,14 +47,14 @@
 
 
 def test_an_entry():
-    found = registry.decode(entry(stage='prefill', spot=True))
+    found = registry_entries.decode(entry(stage='prefill', spot=True))
     assert found.name == 'i-1'
     assert found.failure_domain == 'a'
     assert found.accepted_orders == 3
     assert found.stage == 'prefill'
     assert found.reclaimable
     assert not found.draining
-    assert registry.decode(entry(state='draining')).draining
+    assert registry_entries.decode(entry(state='draining')).draining
 
 
 @pytest.mark.parametrize(
@@ -78,14 +78,14 @@
     ],
 )
 def test_entries_that_name_no_replica(changed):
-    assert registry.decode(entry(**changed)) is None
+    assert registry_entries.decode(entry(**changed)) is None
 
 
 @hypothesis.given(JSON, strategies.sampled_from(sorted(ENTRY)))
 @hypothesis.settings(derandomize=True, max_examples=150)
 def test_no_entry_breaks_the_decoder(value, field):
-    registry.decode(store.StoredObject('servers', 'i', 1, value))
-    registry.decode(entry(**{field: value}))
+    registry_entries.decode(store.StoredObject('servers', 'i', 1, value))
+    registry_entries.decode(entry(**{field: value}))
 
 
 @hypothesis.given(JSON, strategies.sampled_from(sorted(site.CONFIG)))
@@ -152,7 +152,7 @@
 )
 def test_headers_that_two_readers_could_take_differently(headers):
     with pytest.raises(errors.RequestError) as caught:
-        wire.decode_call('GET', b'/', b'', headers)
+        http_codec.decode_call('GET', b'/', b'', headers)
     assert caught.value.status == 400
 
 
@@ -173,9 +173,9 @@
 def test_cache_events(body, changes):
     if changes is None:
         with pytest.raises(errors.DecodeError):
-            wire.decode_cache_events(body)
+            http_codec.decode_cache_events(body)
         return
-    found = wire.decode_cache_events(body)
+    found = http_codec.decode_cache_events(body)
     assert [tuple(change) for change in found.changes] == changes
 
 
@@ -186,14 +186,14 @@
     # It can't be named in a request: freeing it ended the process.
     body = msgspec.json.encode({'kv_handle': handle})
     with pytest.raises(errors.UpstreamError):
-        wire.decode_handle('10.0.0.1:80', 200, body)
+        http_codec.decode_prefill_response('10.0.0.1:80', 200, body)
 
 
 @pytest.mark.parametrize('name', ['i-1', 'réplica'])
 def test_a_handle_is_freed_at_a_replica_of_any_name(name):
     # A name beyond ASCII in the registry ended the process.
     source = calls.KvSource('10.0.0.1:80', '3fa0')
-    request = wire.release_kv_request(name, source, 0.5)
+    request = http_codec.release_kv_request(name, source, 0.5)
     assert request.url.raw_path == b'/api/kv-handle/3fa0'
     assert (b'x-expect-instance', name.encode()) in request.headers.raw
 
@@ -202,6 +202,8 @@
 def test_a_handle_is_freed_as_it_is(handle):
     # Another one was freed, or none.
     source = calls.KvSource('10.0.0.1:80', handle)
-    path = wire.release_kv_request('i-1', source, 0.5).url.raw_path.decode()
+    path = http_codec.release_kv_request(
+        'i-1', source, 0.5
+    ).url.raw_path.decode()
     assert path.startswith('/api/kv-handle/')
     assert urllib.parse.unquote(path.rpartition('/')[2]) == handle
--- a/test/platform/test_objects.py
+++ b/test/platform/test_object_store.py
@@ -4,7 +4,7 @@
 import trio
 
 from gentianstair import errors
-from gentianstair.platform import objects
+from gentianstair.platform import object_store
 
 ANSWER = (
     b'HTTP/1.1 200 OK\r\nContent-Length: 73\r\n\r\n'
@@ -43,7 +43,7 @@
     server = Store()
     listeners = await nursery.start(trio.serve_tcp, server.serve, 0)
     port = listeners[0].socket.getsockname()[1]
-    store = objects.connect(f'127.0.0.1:{port}', 'vm-1', 0.3)
+    store = object_store.connect(f'127.0.0.1:{port}', 'vm-1', 0.3)
 
     async def get():
         return await store.get('config', 'main', purpose='test')
@@ -80,7 +80,7 @@
     server = Store()
     listeners = await nursery.start(trio.serve_tcp, server.serve, 0)
     port = listeners[0].socket.getsockname()[1]
-    store = objects.connect(f'127.0.0.1:{port}', 'vm-1', 1.0)
+    store = object_store.connect(f'127.0.0.1:{port}', 'vm-1', 1.0)
     await store.get('config', 'main', purpose='test')
     server.closing = True
     with pytest.raises(error):
--- a/test/platform/test_settings.py
+++ b/test/platform/test_settings_file.py
@@ -3,12 +3,12 @@
 import pytest
 
 from gentianstair import errors
-from gentianstair.platform import settings
+from gentianstair.platform import settings_file
 from test.gateway import samples
 
 
 def test_units_and_names():
-    found = settings.decode(samples.settings())
+    found = settings_file.decode(samples.settings())
     assert found.vm == 'front-a-1'
     assert found.failure_domain == 'a'
     assert found.replica_heartbeat_s == 1.2
@@ -22,7 +22,9 @@
 
 def test_unknown_fields_are_ignored():
     text = 'novel = 1\n' + samples.settings() + '\n[later]\nx = [1, 2]\n'
-    assert settings.decode(text) == settings.decode(samples.settings())
+    assert settings_file.decode(text) == settings_file.decode(
+        samples.settings()
+    )
 
 
 @pytest.mark.parametrize(
@@ -46,6 +48,6 @@
     text = samples.settings()
     assert old in text
     with pytest.raises(errors.SettingsError) as caught:
-        settings.decode(text.replace(old, new))
+        settings_file.decode(text.replace(old, new))
     assert named in str(caught.value)
     assert '\n' not in str(caught.value)
