--- a/gentianstair/platform/__init__.py
+++ b/gentianstair/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Translate between the users' platform and the product.
+"""Translate between the platform's formats and the gateway's types.
 
-Nothing outside this folder knows the platform's names: each name on the
-wire is decoded here, once, into types of the product.
+Only this package knows the names in the platform's objects, HTTP messages
+and settings file.
 """
--- a/gentianstair/platform/cloud_client.py
+++ b/gentianstair/platform/cloud_client.py
@@ -1,4 +1,4 @@
-"""Make the calls to the platform that are one holder's duty at a time."""
+"""Call the platform API that only the leader may use."""
 
 import collections.abc
 
@@ -7,15 +7,15 @@
 from gentianstair.control import lease
 from gentianstair.util import checked_call
 
-# The call is dropped when it was not delivered for this long. It must be
-# well below what is left of a lease that was just renewed, and many times
-# the few milliseconds that a call takes.
+# A call that the platform has not received after this time is dropped, so
+# that it cannot arrive after the lease has lapsed. Must be well below the
+# duration of a lease.
 CALL_LIFETIME_S = 0.6
 CALL_TIMEOUT_S = 0.8
 
 
 class CloudClient:
-    """Report usage and order replicas, with the holder's epoch."""
+    """Reports usage and orders replicas, with the lease epoch as token."""
 
     def __init__(self, address: str, vm: str) -> None:
         self._address = address
@@ -27,7 +27,10 @@
         window: int,
         counts: collections.abc.Mapping[str, int],
     ) -> None:
-        """Report a window's counts; raise UpstreamError, LeaseLostError."""
+        """Report the request counts of a window by customer.
+
+        Raise UpstreamError or LeaseLostError.
+        """
         body = {'window': window, 'counts': dict(counts)}
         await self._post(authority, '/usage', body)
 
@@ -39,10 +42,11 @@
         count: int,
         reclaimable: bool = False,
     ) -> None:
-        """Order a number of replicas of one kind in a failure domain.
+        """Set the desired number of replicas of a service in a failure domain.
 
-        Raise UpstreamError and LeaseLostError; TurnedAwayError when none
-        are to be had there now.
+        On-demand and reclaimable replicas are ordered separately. Raise
+        TurnedAwayError if no capacity is available there, and UpstreamError
+        or LeaseLostError.
         """
         body: dict[str, str | int | bool] = {
             'service': service,
@@ -73,10 +77,10 @@
         )
         if answer.status == 409:
             raise errors.TurnedAwayError(
-                f'{path}: none to be had now', answer.status
+                f'{path}: no capacity available', answer.status
             )
         if answer.status != 200:
             raise errors.UpstreamError(
-                f'{path}: {answer.status} {answer.body} to {body}',
+                f'{path}: status {answer.status} {answer.body} for {body}',
                 verdicts.Verdict.NOT_RUN,
             )
--- a/gentianstair/platform/object_store.py
+++ b/gentianstair/platform/object_store.py
@@ -1,7 +1,7 @@
-"""Carry the product's store calls over the platform's object interface.
+"""Implement the store interface on the platform's object API.
 
-The platform's ``metadata.revision`` is the product's ``version``, and the
-content lies in ``spec``.
+An object's ``metadata.revision`` is its ``version``, and its ``spec`` is its
+``value``.
 """
 
 import typing
@@ -18,10 +18,10 @@
 from gentianstair.store import store
 from gentianstair.upstreams import transport as transports
 
-# A read or write takes some ms; slow days multiply that by fifty, and a
-# store that is silent must be given up well within a lease.
+# Must be well below the duration of a lease, so that a call which times out
+# can be repeated before the lease lapses.
 CALL_TIMEOUT_S = 1.0
-# Added to a watch's own time limit before its connection counts as dead.
+# How much longer than its own timeout a watch may take to answer.
 WATCH_GRACE_S = 0.5
 MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 
@@ -44,7 +44,7 @@
 
 class _Event(msgspec.Struct):
     object: msgspec.Raw
-    # The object was removed.
+    # Whether the object was removed.
     tombstone: bool = False
 
 
@@ -54,7 +54,7 @@
 
 
 class ObjectStore(store.Store):
-    """The platform's store, under the product's interface."""
+    """A client of the platform's object API."""
 
     def __init__(
         self,
@@ -64,11 +64,11 @@
         timeout_s: float,
     ) -> None:
         self._transport = transport
-        # Whoever looks at the store's log sees which VM called.
+        # Names the calling VM in the platform's request log.
         self._headers = {'user-agent': vm}
         self._address = address
         self._timeout_s = timeout_s
-        self.calls = 0
+        self.call_count = 0
 
     async def _call(
         self,
@@ -78,7 +78,10 @@
         body: typing.Any = None,
         timeout_s: float | None = None,
     ) -> tuple[int, bytes]:
-        """Return status and body; raise StoreError as Store says."""
+        """Return status and body.
+
+        Raise StoreUnavailableError or StoreUnknownError.
+        """
         url = f'http://{self._address}/api/objects/{path}'
         if params:
             url += '?' + urllib.parse.urlencode(params)
@@ -88,7 +91,7 @@
         )
         if body is not None:
             request.headers['content-type'] = 'application/json'
-        self.calls += 1
+        self.call_count += 1
         try:
             with trio.fail_after(timeout_s or self._timeout_s):
                 response = await self._transport.handle_async_request(request)
@@ -100,22 +103,22 @@
                 finally:
                     await response.stream.aclose()
         except trio.TooSlowError as error:
-            # A cut that has healed leaves connections of before it silent;
-            # each would cost a call its whole time before it shows.
+            # After a network partition, connections from before it may stay
+            # silent. Drop all, or each would cost one call its full timeout.
             self._transport.forget(self._address)
-            raise self._lost_response_error(
-                method, 'no answer in time'
-            ) from error
+            raise self._lost_response_error(method, 'timed out') from error
         except errors.UpstreamError as error:
             if error.verdict is verdicts.Verdict.NOT_RUN:
                 raise errors.StoreUnavailableError(str(error)) from error
             raise self._lost_response_error(method, str(error)) from error
 
-    def _lost_response_error(self, method: str, why: str) -> errors.StoreError:
-        # A read has no effect, so its loss is known to have had none.
+    def _lost_response_error(
+        self, method: str, reason: str
+    ) -> errors.StoreError:
+        # A read has no effect, whether it ran or not.
         if method == 'GET':
-            return errors.StoreUnavailableError(why)
-        return errors.StoreUnknownError(why)
+            return errors.StoreUnavailableError(reason)
+        return errors.StoreUnknownError(reason)
 
     async def get(
         self, kind: str, name: str, *, purpose: str
@@ -130,10 +133,10 @@
     async def list(
         self, kind: str, *, purpose: str, prefix: str = ''
     ) -> store.Listing:
-        """See Store.list; pages are read until the last.
+        """See Store.list; reads all pages.
 
-        The revision is the first page's: a watch from there repeats what
-        changed while the pages were read.
+        The revision is that of the first page, so that a watch from there
+        includes the changes made while the other pages were read.
         """
         found: list[store.StoredObject] = []
         revision: int | None = None
@@ -177,7 +180,7 @@
         self, kind: str, name: str, status: int, body: bytes
     ) -> int:
         if status == 409 or status == 404:
-            # A missing object has no version that could be expected.
+            # An update of a missing object is a conflict, too.
             raise errors.StoreConflictError(
                 kind, name, _conflicting_version(body)
             )
@@ -206,7 +209,7 @@
         *,
         purpose: str,
     ) -> store.Listing:
-        """See Store.watch; the platform watches one kind a call."""
+        """See Store.watch; the platform accepts one kind per call."""
         (kind,) = kinds
         params = {
             'watch': after_revision,
@@ -218,15 +221,15 @@
         if status == 410:
             raise errors.WatchTooOldError(kind)
         _check_status(status, body)
-        events = _decode(body, _EventList)
+        changes = _decode(body, _EventList)
         found = []
-        for event in events.events:
+        for event in changes.events:
             item = _decode_item(kind, event.object)
             if item is not None and event.tombstone:
                 item = item._replace(value=None)
             if item is not None:
                 found.append(item)
-        return store.Listing(events.store_revision, found)
+        return store.Listing(changes.store_revision, found)
 
 
 def _path(kind: str, name: str | None = None) -> str:
@@ -236,16 +239,18 @@
 
 
 def _check_status(status: int, body: bytes) -> None:
-    """Raise StoreUnavailableError for a call that was refused."""
+    """Raise StoreUnavailableError for a call that the store rejected."""
     if status not in (200, 201, 202):
-        raise errors.StoreUnavailableError(f'{status}: {body[:100]!r}')
+        raise errors.StoreUnavailableError(f'status {status}: {body[:100]!r}')
 
 
 def _decode(body: bytes, kind: type) -> typing.Any:
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise errors.StoreUnavailableError(f'unreadable: {error}') from error
+        raise errors.StoreUnavailableError(
+            f'invalid response: {error}'
+        ) from error
 
 
 def _decode_object(kind: str, body: bytes) -> store.StoredObject:
@@ -255,15 +260,16 @@
 
 
 def _decode_item(kind: str, raw: msgspec.Raw) -> store.StoredObject | None:
-    """Return one item of a list, or None for one that can't be read.
+    """Return one item of a listing, or None if it is not valid.
 
-    Others write to the store, too; one bad object must not hide the rest.
+    An invalid object, which another program may write, must not make the
+    whole listing fail.
     """
     try:
         found = msgspec.json.decode(raw, type=_Object)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         loguru.logger.bind(event=events.OBJECT_UNREADABLE, kind=kind).warning(
-            'an object was passed over: {}', error
+            'skipped an invalid object: {}', error
         )
         return None
     meta = found.metadata
@@ -275,7 +281,7 @@
 
 
 def _last_name(page: _List) -> str | None:
-    """Return the name after which the next page begins."""
+    """Return the last name on a page, after which the next page begins."""
     for raw in reversed(page.items):
         try:
             meta = msgspec.json.decode(raw, type=_NameOnly).metadata
@@ -286,7 +292,7 @@
 
 
 def _conflicting_version(body: bytes) -> int:
-    """Return the version that stands, or 0 if the answer has none."""
+    """Return the current version, or 0 if the response has none."""
     try:
         return msgspec.json.decode(body, type=_Object).metadata.revision
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -296,5 +302,5 @@
 def connect(
     address: str, vm: str, timeout_s: float = CALL_TIMEOUT_S
 ) -> ObjectStore:
-    """Return the store at an address, for the VM that calls."""
+    """Return a client of the store at an address, for the calling VM."""
     return ObjectStore(transports.make_transport(), address, vm, timeout_s)
--- a/test/platform/test_object_store.py
+++ b/test/platform/test_object_store.py
@@ -1,4 +1,4 @@
-"""Test the store's client on connections that go silent."""
+"""Test the store client on connections that fail."""
 
 import pytest
 import trio
@@ -13,34 +13,36 @@
 )
 
 
-class Store:
-    """Answers while not silent; what is open then stays silent for good."""
+class StoreServer:
+    """A server whose connections can go silent or close.
+
+    A connection that is used while ``silent`` is set never answers again.
+    """
 
     def __init__(self):
         self.silent = False
-        # Closes a connection instead of answering.
+        # Close each connection instead of answering.
         self.closing = False
         self.connections = 0
 
     async def serve(self, stream):
         self.connections += 1
-        dead = False
+        is_dead = False
         while await stream.receive_some(4096):
             if self.closing:
                 return
-            dead = dead or self.silent
-            if dead:
+            is_dead = is_dead or self.silent
+            if is_dead:
                 await trio.sleep_forever()
             await stream.send_all(ANSWER)
 
 
-async def test_one_silent_call_drops_all_old_connections(nursery):
-    """Three connections are kept when the store is cut off for a while.
+async def test_timed_out_call_drops_all_idle_connections(nursery):
+    """Guard against one timeout for each idle connection after a partition.
 
-    All of them stay silent after the cut. If each had to run out of time
-    by itself, the VM would be blind for three calls' time.
+    Connections from before a partition may stay silent after it.
     """
-    server = Store()
+    server = StoreServer()
     listeners = await nursery.start(trio.serve_tcp, server.serve, 0)
     port = listeners[0].socket.getsockname()[1]
     store = object_store.connect(f'127.0.0.1:{port}', 'vm-1', 0.3)
@@ -55,7 +57,7 @@
     server.silent = True
     try:
         await get()
-        raise AssertionError('it answered')
+        raise AssertionError('the silent connection answered')
     except errors.StoreUnavailableError:
         pass
     server.silent = False
@@ -66,6 +68,7 @@
 
 
 @pytest.mark.parametrize(
+    # The version is None for a read, 0 for a creation.
     ('version', 'error'),
     [
         (None, errors.StoreUnavailableError),
@@ -73,11 +76,11 @@
         (5, errors.StoreUnknownError),
     ],
 )
-async def test_a_kept_connection_that_ends_under_a_call(
+async def test_call_on_closed_connection_tells_if_it_may_have_run(
     nursery, version, error
 ):
-    # A write told as not done would be done twice, a usage report counted so.
-    server = Store()
+    # A write reported as failed would be repeated, though it may have run.
+    server = StoreServer()
     listeners = await nursery.start(trio.serve_tcp, server.serve, 0)
     port = listeners[0].socket.getsockname()[1]
     store = object_store.connect(f'127.0.0.1:{port}', 'vm-1', 1.0)
