--- a/gentianstair/platform/configuration.py
+++ b/gentianstair/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decode the operator's configuration object into a catalog."""
+"""Decode the operator's configuration object."""
 
 import typing
 
@@ -7,6 +7,7 @@
 from gentianstair import errors
 from gentianstair.gateway import catalog
 
+# The kind and name of the configuration object in the store.
 KIND = 'config'
 NAME = 'main'
 LOWEST_PRIORITY = 9
@@ -35,9 +36,9 @@
     service: str | None = None
     traffic_split: list[_Target] | None = None
     max_attempts: int = 1
-    # Whoever calls needs no key.
+    # Requests need no API key.
     public: bool = False
-    # Requests carry prompts with shared parts.
+    # Requests carry prompts with shared prefixes.
     sticky: bool = False
     resumable: bool = False
 
@@ -54,7 +55,7 @@
     kv_hold_s: float = 5.0
     stage_switch_s: float = 3.0
     models: list[_Model] = []
-    # Of calls for cache events that wait at a replica.
+    # Cache event calls that may wait at a replica at the same time.
     most: int = 12
 
 
@@ -95,7 +96,7 @@
     tenants: list[_Tenant] | None = None
 
 
-def _route(raw: _Route) -> catalog.Route:
+def _decode_route(raw: _Route) -> catalog.Route:
     targets = tuple((t.service, t.weight) for t in raw.traffic_split or ())
     if raw.service is not None:
         targets = ((raw.service, 1.0),)
@@ -116,7 +117,7 @@
     )
 
 
-def _engine(raw: _Engine) -> catalog.Engine:
+def _decode_engine(raw: _Engine) -> catalog.Engine:
     return catalog.Engine(
         slots=raw.slots,
         kv_tokens=raw.kv_capacity_tokens,
@@ -129,13 +130,13 @@
     )
 
 
-def _service(raw: _Service) -> catalog.Service:
+def _decode_service(raw: _Service) -> catalog.Service:
     scaling = raw.scaling
     return catalog.Service(
         name=raw.name,
         health_path=raw.health_path,
         max_connections=raw.max_connections,
-        engine=_engine(raw.engine) if raw.engine else None,
+        engine=_decode_engine(raw.engine) if raw.engine else None,
         scaling=catalog.Scaling(
             scaling.min,
             scaling.max,
@@ -148,22 +149,21 @@
     )
 
 
-def _routes(
+def _decode_routes(
     routes: list[_Route],
 ) -> dict[str, tuple[catalog.Route, ...]]:
     by_host: dict[str, list[catalog.Route]] = {}
     for raw in routes:
-        by_host.setdefault(raw.host.lower(), []).append(_route(raw))
+        by_host.setdefault(raw.host.lower(), []).append(_decode_route(raw))
     for found in by_host.values():
         found.sort(key=lambda route: -len(route.path_prefix))
     return {host: tuple(found) for host, found in by_host.items()}
 
 
 def decode(spec: typing.Any) -> catalog.Catalog:
-    """Return the catalog that an object's content describes.
+    """Return the catalog that a configuration object describes.
 
-    Raise DecodeError for one that is not of this form: the version before
-    it stays in force.
+    Raise DecodeError if its content is not valid.
     """
     try:
         raw = msgspec.convert(spec, _Config)
@@ -177,8 +177,8 @@
     }
     return catalog.Catalog(
         version=raw.version,
-        routes=_routes(raw.routes),
-        services={s.name: _service(s) for s in raw.services},
+        routes=_decode_routes(raw.routes),
+        services={s.name: _decode_service(s) for s in raw.services},
         customers=customers,
         requires_keys=raw.tenants is not None,
         limits=catalog.Limits(
--- a/gentianstair/platform/registry_entries.py
+++ b/gentianstair/platform/registry_entries.py
@@ -1,4 +1,4 @@
-"""Decode the entries under which replicas register themselves."""
+"""Decode the entries that replicas register in the store."""
 
 import ipaddress
 import typing
@@ -11,6 +11,7 @@
 from gentianstair.store import store as stores
 from gentianstair.util import addresses
 
+# The kind of the entries in the store.
 KIND = 'servers'
 READY = 'ready'
 DRAINING = 'draining'
@@ -27,29 +28,31 @@
     zone: str
     state: str
     slots: int
-    # The number of orders taken, not of the heartbeat.
+    # Orders accepted since the replica's start.
     sequence: int
+    # Unix time of its start, in ms.
     born: int = 0
     stage: str = ''
     models: list[_Model] = []
-    # Reclaimable at short notice.
+    # Whether the platform may reclaim it at short notice.
     spot: bool = False
 
 
 def decode(item: stores.StoredObject) -> replicas.Replica | None:
-    """Return the replica of an entry, or None for one that names none.
+    """Return the replica of an entry, or None if the entry is not valid.
 
-    Others may write entries here; one with fields missing or of another
-    type, an unknown state or stage, or no usable address is passed over.
+    Other programs may write entries, too. One with a field missing or of
+    the wrong type, an unknown state or stage or an unusable address is
+    logged and skipped.
     """
     try:
         entry = msgspec.convert(item.value, _Entry)
     except (msgspec.ValidationError, TypeError) as error:
         return _log_skipped(item.name, str(error))
     if not _is_address(entry.address):
-        return _log_skipped(item.name, 'its address is none')
+        return _log_skipped(item.name, 'invalid address')
     if entry.state not in (READY, DRAINING) or entry.stage not in STAGES:
-        return _log_skipped(item.name, 'its state or stage is unknown')
+        return _log_skipped(item.name, 'unknown state or stage')
     return replicas.Replica(
         name=item.name,
         service=entry.service,
@@ -66,7 +69,7 @@
 
 
 def _is_address(text: str) -> bool:
-    """Return whether text is IP:PORT, to which a request can be made."""
+    """Return whether text is a valid IP:PORT."""
     if not text.isascii():
         return False
     try:
@@ -77,7 +80,7 @@
     return True
 
 
-def _log_skipped(name: typing.Any, why: str) -> None:
+def _log_skipped(name: typing.Any, reason: str) -> None:
     loguru.logger.bind(
         event=events.ENTRY_PASSED_OVER, replica=str(name)
-    ).warning('a registry entry was passed over: {}', why)
+    ).warning('skipped an invalid registry entry: {}', reason)
--- a/gentianstair/platform/settings_file.py
+++ b/gentianstair/platform/settings_file.py
@@ -1,4 +1,4 @@
-"""Read the settings file that the platform lays for each process."""
+"""Read the settings file that the platform writes for each process."""
 
 import os
 import pathlib
@@ -8,12 +8,13 @@
 from gentianstair import errors
 from gentianstair.gateway import deployment
 
+# The environment variable with the path of the file.
 PATH_VARIABLE = 'GENTIANSTAIR_NODE_FILE'
-_MISSING = object()
+_REQUIRED = object()
 
 
 class _Table:
-    """One table of the file; every lookup names the field it needs."""
+    """A table of the file; errors name the full path of a field."""
 
     def __init__(self, name: str, values: typing.Mapping) -> None:
         self._name = name
@@ -21,7 +22,7 @@
 
     def _get(self, key: str, default: typing.Any) -> typing.Any:
         value = self._values.get(key, default)
-        if value is _MISSING:
+        if value is _REQUIRED:
             raise errors.SettingsError(f'{self._path(key)}: is missing')
         return value
 
@@ -30,53 +31,59 @@
 
     def table(self, key: str) -> '_Table':
         """Return a table inside this one."""
-        value = self._get(key, _MISSING)
+        value = self._get(key, _REQUIRED)
         if not isinstance(value, dict):
-            raise errors.SettingsError(f'{self._path(key)}: is no table')
+            raise errors.SettingsError(f'{self._path(key)}: must be a table')
         return _Table(self._path(key), value)
 
-    def string(self, key: str, default: typing.Any = _MISSING) -> str:
-        """Return a text."""
+    def string(self, key: str, default: typing.Any = _REQUIRED) -> str:
+        """Return a string."""
         value = self._get(key, default)
         if not isinstance(value, str):
-            raise errors.SettingsError(f'{self._path(key)}: is no text')
+            raise errors.SettingsError(f'{self._path(key)}: must be a string')
         return value
 
-    def number(self, key: str, default: typing.Any = _MISSING) -> float:
+    def number(self, key: str, default: typing.Any = _REQUIRED) -> float:
         """Return a number that is not negative."""
         value = self._get(key, default)
-        right = isinstance(value, (int, float)) and not isinstance(value, bool)
-        if not right or not value >= 0:
-            raise errors.SettingsError(f'{self._path(key)}: is no amount')
+        is_number = isinstance(value, (int, float)) and not isinstance(
+            value, bool
+        )
+        if not is_number or not value >= 0:
+            raise errors.SettingsError(
+                f'{self._path(key)}: must be a number >= 0'
+            )
         return float(value)
 
-    def flag(self, key: str, default: typing.Any = _MISSING) -> bool:
-        """Return true or false."""
+    def flag(self, key: str, default: typing.Any = _REQUIRED) -> bool:
+        """Return a boolean."""
         value = self._get(key, default)
         if not isinstance(value, bool):
-            raise errors.SettingsError(f'{self._path(key)}: true or false')
+            raise errors.SettingsError(
+                f'{self._path(key)}: must be true or false'
+            )
         return value
 
-    def array(self, key: str, default: typing.Any = _MISSING) -> list:
-        """Return a list."""
+    def array(self, key: str, default: typing.Any = _REQUIRED) -> list:
+        """Return an array."""
         value = self._get(key, default)
         if not isinstance(value, list):
-            raise errors.SettingsError(f'{self._path(key)}: is no list')
+            raise errors.SettingsError(f'{self._path(key)}: must be an array')
         return value
 
 
-def _bounds(table: _Table) -> deployment.Bounds:
-    """Return the bounds in seconds; the file mixes units."""
+def _decode_bounds(table: _Table) -> deployment.Bounds:
+    """Return the bounds, with all times in seconds."""
     return deployment.Bounds(
         drain_s=table.number('drain_ms') / 1000,
         grace_s=table.number('grace_s'),
         config_apply_s=table.number('config_apply_ms') / 1000,
-        # How much longer a configuration may take when the store refuses
-        # this VM; the file speaks of stretching the bound above.
+        # How much longer than config_apply_s a configuration may take on a
+        # VM without access to the store.
         config_stretch_s=table.number('max_stretch_ms') / 1000,
         retry_ratio=table.number('budget_ratio'),
         retry_window_s=table.number('budget_window_s'),
-        # Repeats of the whole fleet that are free in each window.
+        # Retries of all VMs in each window, in addition to the ratio.
         retry_allowance=table.number('retry_slack'),
         orders_fenced=table.flag('fencing_enforced'),
         lease_s=table.number('lease_ms') / 1000,
@@ -90,22 +97,22 @@
     value = table.string(key)
     host, _, port = value.rpartition(':')
     if not host or not port.isdigit():
-        raise errors.SettingsError(f'{key}: {value!r} is no HOST:PORT')
+        raise errors.SettingsError(f'{key}: {value!r} is not HOST:PORT')
     return value
 
 
 def _strings(table: _Table, key: str) -> tuple[str, ...]:
     values = table.array(key, [])
     if not all(isinstance(value, str) for value in values):
-        raise errors.SettingsError(f'{key}: must hold texts')
+        raise errors.SettingsError(f'{key}: must contain only strings')
     return tuple(values)
 
 
 def decode(text: str) -> deployment.Deployment:
-    """Return the settings in the file's text; unknown fields are ignored.
+    """Return the settings in the file's text; ignore unknown fields.
 
-    Raise SettingsError, in one line, for what is missing or of another
-    type than it must be.
+    Raise SettingsError, with a message of one line, for a field that is
+    missing or not valid.
     """
     try:
         file = _Table('', tomllib.loads(text))
@@ -122,7 +129,7 @@
         ip=file.string('ip'),
         callers_address=_address(listen, 'front'),
         ready_address=_address(listen, 'ready'),
-        # The platform calls nothing at this address; peers do.
+        # Only peers connect to this address, not the platform.
         peer_address=_address(listen, 'control'),
         peer_seeds=_strings(file, 'seeds'),
         store_address=_address(store, 'address'),
@@ -134,17 +141,17 @@
         max_fds=int(limits.number('max_fds')),
         cores=limits.number('cpu_share', 1.0) * limits.number('cores', 1.0),
         replica_heartbeat_s=file.number('heartbeat_ms') / 1000,
-        # False when a VM starts into a system that runs already.
+        # False if the VM joins a deployment that is already running.
         whole_system_starts=file.flag('bootstrap', False),
-        bounds=_bounds(file.table('bounds')),
+        bounds=_decode_bounds(file.table('bounds')),
     )
 
 
 def path() -> pathlib.Path:
-    """Return where the settings file lies."""
+    """Return the path of the settings file; raise SettingsError if unset."""
     value = os.environ.get(PATH_VARIABLE)
     if not value:
-        raise errors.SettingsError(f'{PATH_VARIABLE}: is not set')
+        raise errors.SettingsError(f'{PATH_VARIABLE} is not set')
     return pathlib.Path(value)
 
 
--- a/test/platform/test_settings_file.py
+++ b/test/platform/test_settings_file.py
@@ -1,4 +1,4 @@
-"""Test that the settings file is read whole and complained of in a line."""
+"""Test the decoding and the error messages of the settings file."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from test.gateway import samples
 
 
-def test_units_and_names():
+def test_fields_and_units_are_translated():
     found = settings_file.decode(samples.settings())
     assert found.vm == 'front-a-1'
     assert found.failure_domain == 'a'
@@ -44,7 +44,7 @@
         ('= 10', '=', 'settings file'),
     ],
 )
-def test_bad_settings(old, new, named):
+def test_invalid_setting_is_named_in_one_line(old, new, named):
     text = samples.settings()
     assert old in text
     with pytest.raises(errors.SettingsError) as caught:
