--- a/gentianstair/platform/http_codec.py
+++ b/gentianstair/platform/http_codec.py
@@ -1,4 +1,4 @@
-"""Translate callers' requests, and what replicas are sent and answer."""
+"""Translate between HTTP messages and the gateway's request types."""
 
 import re
 import typing
@@ -11,7 +11,7 @@
 from gentianstair import verdict as verdicts
 from gentianstair.gateway import calls
 
-# Headers that concern one connection only.
+# Headers of a single connection, which are not forwarded.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         b'connection',
@@ -24,7 +24,7 @@
         b'expect',
     }
 )
-# Headers of the system; whatever a caller puts there goes no further.
+# Headers that the gateway reads or sets; a caller's values are not forwarded.
 GATEWAY_HEADERS = frozenset(
     {
         b'authorization',
@@ -46,21 +46,24 @@
 BEARER_PREFIX = 'bearer '
 REQUEST_ID_HEADER = b'x-request-id'
 SIGNATURE_HEADER = b'x-response-signature'
-# Says that the replica did not run the request.
+# Present if the replica did not run the request.
 NOT_EXECUTED_HEADER = b'x-not-executed'
-# Another replica has the address; it did not run the request either.
+# Status if another replica now has the address; the request was not run.
 HTTP_MISDIRECTED = 421
 PREFILL_STAGE = 'prefill'
+# Smallest deadline sent to a replica.
 MIN_DEADLINE_MS = 1
+# Largest number in the priority header; 0 runs first.
 LOWEST_PRIORITY = 9
-# What a header can carry unchanged.
+# Printable ASCII without spaces, which a header carries unchanged.
 _KV_HANDLE_PATTERN = re.compile(r'[!-~]{1,256}')
 
 
 def _headers_by_name(headers: calls.Headers) -> dict[bytes, bytes]:
-    """Return headers by name; one that comes twice is refused.
+    """Return header values by name.
 
-    Two readers could otherwise take different ones for the right one.
+    Raise RequestError if a header that must be unique is repeated: the
+    gateway and a replica could otherwise use different values.
     """
     found: dict[bytes, bytes] = {}
     for name, value in headers:
@@ -107,7 +110,7 @@
 def decode_prompt(
     model: str | None, counts: str | None, parts: str | None
 ) -> calls.Prompt | None:
-    """Return what headers say of a prompt, or None if that can't be read.
+    """Return the prompt that the headers describe, or None if they don't.
 
     >>> decode_prompt('m', '1460,80', '5c:800,91:660').parts[1]
     PromptPart(name='91', tokens=660)
@@ -132,7 +135,7 @@
 def decode_call(
     method: str, raw_path: bytes, query: bytes, headers: calls.Headers
 ) -> calls.Call:
-    """Return a caller's request; raise RequestError if it is none."""
+    """Return a caller's request; raise RequestError if it is not valid."""
     fields = _headers_by_name(headers)
     host = (_header_text(fields, b'host') or '').lower()
     host = host.rpartition(':')[0] or host
@@ -162,7 +165,7 @@
 def encode_attempt(
     call: calls.Call, attempt: calls.Attempt, connect_s: float
 ) -> httpx.Request:
-    """Return the request as a replica gets it."""
+    """Return the HTTP request of an attempt."""
     replica = attempt.replica
     left_ms = max(MIN_DEADLINE_MS, int(attempt.remaining_s * 1000))
     headers = list(call.headers)
@@ -200,7 +203,7 @@
 def release_kv_request(
     replica_name: str, source: calls.KvSource, connect_s: float
 ) -> httpx.Request:
-    """Return the request that frees a KV cache that nobody will take."""
+    """Return the request that frees a KV cache which is no longer needed."""
     handle = urllib.parse.quote(source.handle, safe='')
     return httpx.Request(
         'DELETE',
@@ -211,7 +214,7 @@
 
 
 def response_headers(response: httpx.Response) -> calls.Headers:
-    """Return a replica's headers as they go on to the caller."""
+    """Return the headers of a replica's response that the caller gets."""
     return [
         (name.lower(), value)
         for name, value in response.headers.raw
@@ -221,7 +224,7 @@
 
 
 def verdict_of(response: httpx.Response) -> verdicts.Verdict:
-    """Return whether the replica ran the request that it answered."""
+    """Return whether the replica ran the request."""
     if response.status_code == HTTP_MISDIRECTED:
         return verdicts.Verdict.NOT_RUN
     if NOT_EXECUTED_HEADER.decode() in response.headers:
@@ -237,16 +240,19 @@
 def decode_prefill_response(
     replica_address: str, status: int, body: bytes
 ) -> calls.KvSource:
-    """Return where the KV cache of a prompt lies that was just read."""
+    """Return where the KV cache of a prefilled prompt is kept.
+
+    Raise UpstreamError if the replica did not prefill it.
+    """
     try:
         if status != 200:
             raise ValueError(f'status {status}')
         found = msgspec.json.decode(body, type=_PrefillResponse)
         if not _KV_HANDLE_PATTERN.fullmatch(found.kv_handle):
-            raise ValueError('its handle is none')
+            raise ValueError('invalid KV handle')
     except (msgspec.DecodeError, ValueError) as error:
         raise errors.UpstreamError(
-            f'the prompt was not read: {error}', verdicts.Verdict.RAN
+            f'prefill failed: {error}', verdicts.Verdict.RAN
         ) from error
     return calls.KvSource(replica_address, found.kv_handle)
 
@@ -254,9 +260,9 @@
 def error_headers(
     request_id: str, retry_after_s: float | None
 ) -> calls.Headers:
-    """Return the headers of an answer of the system's own.
+    """Return the headers of an error response of the gateway.
 
-    The time to come back may have fractions here.
+    Fractions of a second are allowed in ``retry-after``.
     """
     headers: calls.Headers = []
     if request_id:
@@ -267,29 +273,33 @@
 
 
 class _CacheEventsResponse(msgspec.Struct):
-    # Changes when the replica starts again.
+    # Changes when the replica restarts.
     epoch: typing.Any
+    # The sequence number of the next event.
     next: int
-    # Whether events are missing before these.
+    # Whether earlier events are missing.
     lost: typing.Any = False
     events: list[list[typing.Any]] = []
 
 
 class CacheChange(typing.NamedTuple):
-    """A part of a prompt that a replica began or ceased to keep."""
+    """A prompt part that was added to or evicted from a replica's cache."""
 
     part: str
-    # The replica's count of its changes.
+    # Sequence number of the change at its replica.
     sequence: int
-    # Tokens kept now; 0 when it is gone.
+    # Tokens cached; 0 after eviction.
     tokens: int
 
 
 class CacheChanges(typing.NamedTuple):
-    """What changed in a replica's cache since the last look."""
+    """The changes of a replica's cache since the previous poll."""
 
+    # Changes when the replica restarts, which empties its cache.
     epoch: str
+    # Where the next poll begins.
     next_sequence: int
+    # Whether earlier changes are missing.
     lost: bool
     changes: list[CacheChange]
 
@@ -297,7 +307,7 @@
 def cache_events_request(
     address: str, since: int, wait_s: float, connect_s: float
 ) -> httpx.Request:
-    """Return the request that waits for changes of a replica's cache."""
+    """Return the long poll for changes of a replica's cache."""
     return httpx.Request(
         'GET',
         f'http://{address}/api/kv-events?since={since}',
@@ -307,7 +317,7 @@
 
 
 def decode_cache_events(body: bytes) -> CacheChanges:
-    """Return the changes in an answer; raise DecodeError."""
+    """Return the changes in a response; raise DecodeError."""
     try:
         found = msgspec.json.decode(body, type=_CacheEventsResponse)
         changes = []
@@ -316,7 +326,7 @@
             kept = int(tokens) if sign == '+' else 0
             changes.append(CacheChange(str(part), int(number), kept))
     except (msgspec.DecodeError, ValueError, TypeError) as error:
-        raise errors.DecodeError(f'cache events: {error}') from error
+        raise errors.DecodeError(f'invalid cache events: {error}') from error
     return CacheChanges(
         str(found.epoch), found.next, bool(found.lost), changes
     )
@@ -324,12 +334,16 @@
 
 class _CacheListResponse(msgspec.Struct):
     epoch: typing.Any
+    # The sequence number of the next event.
     next: int
     held: list[list[typing.Any]] = []
 
 
 def cache_list_request(address: str, connect_s: float) -> httpx.Request:
-    """Return the request for all that a replica keeps; it costs it time."""
+    """Return the request for a replica's whole cache list.
+
+    The list is costly for the replica.
+    """
     return httpx.Request(
         'GET',
         f'http://{address}/api/kv-list',
@@ -338,7 +352,7 @@
 
 
 def decode_cache_list(body: bytes) -> CacheChanges:
-    """Return what a replica keeps, as if all had changed now.
+    """Return the cached parts as if all were added by the last change.
 
     Raise DecodeError.
     """
@@ -349,5 +363,5 @@
             _, part, tokens = row[:3]
             changes.append(CacheChange(str(part), found.next - 1, int(tokens)))
     except (msgspec.DecodeError, ValueError, TypeError) as error:
-        raise errors.DecodeError(f'cache list: {error}') from error
+        raise errors.DecodeError(f'invalid cache list: {error}') from error
     return CacheChanges(str(found.epoch), found.next, False, changes)
--- a/test/platform/__init__.py
+++ b/test/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Test the adapter of the users' platform."""
+"""Test the translation of the platform's formats."""
--- a/test/platform/test_decoders.py
+++ b/test/platform/test_decoders.py
@@ -1,4 +1,4 @@
-"""Test that what others write to the store is decoded or passed over."""
+"""Test the decoding of store objects and HTTP messages."""
 
 import urllib.parse
 
@@ -46,7 +46,7 @@
     return store.StoredObject('servers', 'i-1', 5, value)
 
 
-def test_an_entry():
+def test_entry_is_decoded():
     found = registry_entries.decode(entry(stage='prefill', spot=True))
     assert found.name == 'i-1'
     assert found.failure_domain == 'a'
@@ -66,7 +66,7 @@
         {'address': 'nowhere'},
         {'address': ':80'},
         {'address': 'a:b'},
-        # No request can be made to these.
+        # Not a valid host or port in a URL.
         {'address': 'a..b:80'},
         {'address': '10.0.0.1\n:80'},
         {'address': '10.0.0.1:80\n'},
@@ -76,21 +76,22 @@
         {'service': None},
         {'sequence': 'x'},
     ],
+    ids=str,
 )
-def test_entries_that_name_no_replica(changed):
+def test_invalid_entry_is_skipped(changed):
     assert registry_entries.decode(entry(**changed)) is None
 
 
 @hypothesis.given(JSON, strategies.sampled_from(sorted(ENTRY)))
 @hypothesis.settings(derandomize=True, max_examples=150)
-def test_no_entry_breaks_the_decoder(value, field):
+def test_arbitrary_entry_raises_nothing(value, field):
     registry_entries.decode(store.StoredObject('servers', 'i', 1, value))
     registry_entries.decode(entry(**{field: value}))
 
 
 @hypothesis.given(JSON, strategies.sampled_from(sorted(site.CONFIG)))
 @hypothesis.settings(derandomize=True, max_examples=150)
-def test_no_configuration_breaks_the_decoder(value, field):
+def test_arbitrary_configuration_raises_only_decode_error(value, field):
     for content in (value, {**site.CONFIG, field: value}):
         try:
             configuration.decode(content)
@@ -98,7 +99,7 @@
             pass
 
 
-def test_a_configuration():
+def test_configuration_is_decoded():
     found = configuration.decode(site.CONFIG)
     assert found.version == 7
     assert found.requires_keys
@@ -114,20 +115,20 @@
 
 
 @pytest.mark.parametrize(
-    ('path', 'wanted'),
+    ('path', 'expected'),
     [('/a/b/c', 'long'), ('/a/x', 'short'), ('/a/bc', 'short'), ('/b', None)],
 )
-def test_the_longest_prefix_wins(path, wanted):
+def test_route_with_longest_matching_prefix_is_found(path, expected):
     routes = [
         {**site.CONFIG['routes'][3], 'name': name, 'path_prefix': prefix}
         for name, prefix in (('short', '/a/'), ('long', '/a/b/'))
     ]
     found = configuration.decode({**site.CONFIG, 'routes': routes})
     route = found.route('judging.example', path)
-    assert (route.name if route else None) == wanted
+    assert (route.name if route else None) == expected
 
 
-def test_a_split_follows_its_weights():
+def test_traffic_split_follows_weights():
     split = [
         {'service': 'x', 'weight': 90},
         {'service': 'y', 'weight': 10},
@@ -149,8 +150,9 @@
         [(b'authorization', b'Bearer a'), (b'authorization', b'Bearer b')],
         [(b'x-request-deadline-ms', b'soon')],
     ],
+    ids=['host', 'request id', 'API key', 'deadline'],
 )
-def test_headers_that_two_readers_could_take_differently(headers):
+def test_repeated_or_invalid_header_is_rejected(headers):
     with pytest.raises(errors.RequestError) as caught:
         http_codec.decode_call('GET', b'/', b'', headers)
     assert caught.value.status == 400
@@ -170,7 +172,7 @@
         (b'\xff', None),
     ],
 )
-def test_cache_events(body, changes):
+def test_cache_events_are_decoded_or_rejected(body, changes):
     if changes is None:
         with pytest.raises(errors.DecodeError):
             http_codec.decode_cache_events(body)
@@ -182,16 +184,16 @@
 @pytest.mark.parametrize(
     'handle', ['', 'a\nb', 'a\r\nx-tenant: b', '\0', 'x' * 70000]
 )
-def test_an_odd_handle_is_a_failed_read(handle):
-    # It can't be named in a request: freeing it ended the process.
+def test_invalid_kv_handle_fails_prefill(handle):
+    # A handle that a request cannot carry must not end the process later.
     body = msgspec.json.encode({'kv_handle': handle})
     with pytest.raises(errors.UpstreamError):
         http_codec.decode_prefill_response('10.0.0.1:80', 200, body)
 
 
 @pytest.mark.parametrize('name', ['i-1', 'réplica'])
-def test_a_handle_is_freed_at_a_replica_of_any_name(name):
-    # A name beyond ASCII in the registry ended the process.
+def test_kv_release_accepts_non_ascii_replica_name(name):
+    # Such a name must not raise an exception that ends the process.
     source = calls.KvSource('10.0.0.1:80', '3fa0')
     request = http_codec.release_kv_request(name, source, 0.5)
     assert request.url.raw_path == b'/api/kv-handle/3fa0'
@@ -199,8 +201,8 @@
 
 
 @pytest.mark.parametrize('handle', ['3fa0', 'a#b', 'a?b', '../c', 'a%2fb'])
-def test_a_handle_is_freed_as_it_is(handle):
-    # Another one was freed, or none.
+def test_kv_release_quotes_handle(handle):
+    # Without quoting, another KV cache would be freed, or none.
     source = calls.KvSource('10.0.0.1:80', handle)
     path = http_codec.release_kv_request(
         'i-1', source, 0.5
