--- a/gentianstair/util/__init__.py
+++ b/gentianstair/util/__init__.py
@@ -1,1 +1,1 @@
-"""Hold small helpers that know nothing of serving."""
+"""Shared helpers for HTTP serving, logs, clocks, TLS and auditing."""
--- a/gentianstair/util/addresses.py
+++ b/gentianstair/util/addresses.py
@@ -1,8 +1,8 @@
-"""Read addresses as host:port."""
+"""Parse addresses of the form host:port."""
 
 
 def parse(text: str) -> tuple[str, int]:
-    """Return host and port of ``host:port``.
+    """Return the host and port of ``host:port``.
 
     >>> parse('127.0.0.1:80')
     ('127.0.0.1', 80)
--- a/gentianstair/util/audit.py
+++ b/gentianstair/util/audit.py
@@ -1,12 +1,10 @@
-"""Keep the audit trail: who changed what, when, from what to what.
-
-An entry is recorded before its change is tried, and its outcome after. The
-other order would lose the entry of a change whose author died in between;
-with this one the worst case is an entry without an outcome, which says that
-the change was intended. A change also writes its entry's name into the
-object (field ``change``), so such an entry can be settled later: the change
-took effect if the object, or the ``before`` of a later entry, carries the
-name.
+"""Keep the audit trail: who changed what and when, old and new values.
+
+An entry is recorded before its change is attempted, and its outcome after.
+If the process dies in between, the entry remains without an outcome. A
+change also writes the name of its entry into the object (field ``change``),
+so that a missing outcome can be inferred later: the change took effect if
+the object, or the ``before`` of a later entry, has that name.
 """
 
 import datetime
@@ -21,13 +19,13 @@
 
 KIND = 'audit'
 OUTCOME_KIND = 'audit-outcome'
-# Objects that hold the record of an order, whose state tells its outcome.
+# Kinds of objects that record an order; their state gives its outcome.
 ORDER_KINDS = frozenset({'engine-order', 'upstream-order'})
 NOT_DONE = 'not done'
 CREATE_TRIES = 3
-# More hours than this are listed by day, more days in one call.
+# Most list calls by hour prefix; then days are listed, then everything.
 MAX_LIST_CALLS = 40
-# A write still under way is certainly settled after this long.
+# Upper bound on the time that a write may take to become visible.
 MAX_WRITE_S = 60.0
 
 
@@ -56,7 +54,7 @@
     before: store.Value | None,
     after: store.Value | None,
 ) -> messages.AuditValue:
-    """Return an entry for a change that is about to be tried."""
+    """Return an entry for a change that is about to be attempted."""
     return {
         'at': timestamp(),
         'actor': actor,
@@ -68,7 +66,7 @@
 
 
 def make_entry_name(entry: messages.AuditValue) -> str:
-    """Return a new name; names sort by time, to the authors' clocks."""
+    """Return a unique name; names sort by time on the authors' clocks."""
     stamp = entry['at'].replace('-', '').replace(':', '')
     return f'{stamp}-{secrets.token_hex(6)}'
 
@@ -76,14 +74,14 @@
 async def _create(
     client: store.Store, kind: str, name: str, value: typing.Any
 ) -> None:
-    """Create an object of the trail, whose name nobody else uses."""
+    """Create an object with a unique name, retrying unknown outcomes."""
     for attempt in range(CREATE_TRIES):
         try:
             await client.put(kind, name, value, 0, purpose='audit')
             return
         except errors.StoreConflictError:
-            # The name is random, so only an earlier try of ours, whose
-            # answer was lost, can have created it.
+            # The name is random, so an earlier attempt of this call, whose
+            # response was lost, has created the object.
             return
         except errors.StoreUnknownError:
             if attempt == CREATE_TRIES - 1:
@@ -97,8 +95,8 @@
 ) -> str:
     """Record an entry and return its name.
 
-    Raise StoreUnavailableError or StoreUnknownError; the caller must then
-    not go on to make the change.
+    Raise StoreUnavailableError or StoreUnknownError; the change must then
+    not be made.
     """
     name = name or make_entry_name(entry)
     await _create(client, KIND, name, entry)
@@ -108,9 +106,9 @@
 async def record_outcome(
     client: store.Store, name: str, outcome: Outcome, version: int = 0
 ) -> None:
-    """Record how the change of an entry ended.
+    """Record the outcome of an entry's change.
 
-    ``version`` is the store's version after the change, 0 if unknown.
+    ``version`` is the version of the object after the change, 0 if unknown.
     """
     value: messages.AuditOutcome = {
         'at': timestamp(),
@@ -121,9 +119,9 @@
 
 
 class Record(typing.NamedTuple):
-    """An entry as read back, with what became of its change.
+    """An entry with the recorded or inferred outcome of its change.
 
-    ``outcome`` is ``done``, ``refused``, ``not done`` (its author died or
+    ``outcome`` is ``done``, ``refused``, ``not done`` (the author died or
     lost the store before the change) or ``unknown``.
     """
 
@@ -133,11 +131,10 @@
 
 
 def _prefixes(since: datetime.datetime) -> list[str]:
-    """Return prefixes that names of entries since then can have.
+    """Return the name prefixes that cover all entries since a time.
 
-    Short ones for a long time, so that neither one listing is huge nor
-    their number. Authors' clocks may run ahead, so an hour of the future
-    is among them.
+    Longer periods use shorter prefixes, which bounds the number of list
+    calls. The range ends an hour ahead, as authors' clocks may be fast.
     """
     hour = datetime.timedelta(hours=1)
     first = since.astimezone(datetime.UTC)
@@ -162,7 +159,7 @@
 
 
 async def read(client: store.Store, since: datetime.datetime) -> list[Record]:
-    """Return the entries since then, oldest first."""
+    """Return the entries since a time, oldest first."""
     prefixes = _prefixes(since)
     entries = await _list_objects(client, KIND, prefixes)
     outcomes = await _list_objects(client, OUTCOME_KIND, prefixes)
@@ -189,7 +186,7 @@
     entry: messages.AuditValue,
     entries: dict[str, store.Value],
 ) -> str:
-    """Return what became of a change whose outcome was not recorded."""
+    """Return the outcome of a change for which none was recorded."""
     kind, _, target = entry['target'].partition('/')
     present = await client.get(kind, target, purpose='audit')
     seen = [present.value] + [
@@ -203,8 +200,7 @@
     if ours:
         return _order_outcome({value['state'] for value in ours if value})
     age_s = time.time() - _unix_time_s(entry['at'])
-    # Somebody found the object as it was before this change, and nobody
-    # found it as it was after.
+    # The state before the change was seen after it; the new state never was.
     if age_s > MAX_WRITE_S and _entry_name_in(entry['before']) in map(
         _entry_name_in, seen
     ):
@@ -213,10 +209,10 @@
 
 
 def _order_outcome(states: set[str]) -> str:
-    """Return what became of an order whose record was in these states.
+    """Return the outcome of an order, given the states of its record.
 
-    The record of an order carries its entry's name from before it is sent,
-    so the name alone does not tell that it took effect.
+    The record has the entry's name before the order is sent, so the name
+    alone does not show that the order took effect.
     """
     if states & {'done', 'accepted'}:
         return Outcome.DONE.value
--- a/gentianstair/util/clock.py
+++ b/gentianstair/util/clock.py
@@ -1,23 +1,23 @@
-"""Tell time for leases and deadlines."""
+"""Provide the clocks for leases and deadlines."""
 
 import collections.abc
 import time
 
 import trio
 
-# A function that returns seconds on a clock that never runs backwards.
+# A function that returns the seconds of a monotonic clock.
 Clock = collections.abc.Callable[[], float]
 
 
 def boottime_s() -> float:
-    """Return seconds since boot, counting time the VM was suspended.
+    """Return seconds since boot, including time the VM was suspended.
 
-    A lease holder on a VM that slept must see the sleep, or it would go on
-    with authority that lapsed meanwhile; CLOCK_MONOTONIC stops then.
+    CLOCK_MONOTONIC stops during a suspension, so a lease holder would not
+    notice that its lease has expired meanwhile.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def trio_time_s() -> float:
-    """Return the run's clock, which a test's MockClock can drive."""
+    """Return the time of the trio run, which tests can mock."""
     return trio.current_time()
--- a/gentianstair/util/connections.py
+++ b/gentianstair/util/connections.py
@@ -1,4 +1,4 @@
-"""Know of each caller's connection why it ended, and who ended it."""
+"""Track each caller's connection, why it ended and who closed it."""
 
 import enum
 import time
@@ -9,7 +9,7 @@
 
 from gentianstair.generated import events
 
-# Under this name a request's ASGI state holds its connection.
+# Key of the connection in the state of a request's ASGI scope.
 STATE_KEY = 'gentianstair.connection'
 
 CONNECTIONS_ENDED = prometheus_client.Counter(
@@ -20,40 +20,40 @@
 
 
 class Side(enum.Enum):
-    """Who closed a connection."""
+    """Which side closed a connection."""
 
     PROCESS = 'this process'
     CALLER = 'the caller'
 
 
 class EndReason(enum.Enum):
-    """What ended a connection."""
+    """Why a connection ended; the values are logged and counted."""
 
     KEEP_ALIVE_EXPIRED = 'keep-alive-over'
-    # A planned stop; the last answer had not said that it would close.
+    # Shutdown; the last response did not announce ``Connection: close``.
     STOP = 'stop'
     GRACE_EXPIRED = 'grace-over'
-    # Cut with all others: the process ended, with no grace left to wait for.
+    # The process exited without waiting for the grace period.
     PROCESS_ENDED = 'process-ended'
     CALLER_CLOSED = 'caller-ended'
     CALLER_RESET = 'caller-reset'
-    # One request of an HTTP/2 connection, which itself goes on.
+    # One HTTP/2 stream was reset; its connection stays open.
     STREAM_RESET = 'stream-reset'
     SEND_STALL = 'send-stall'
     HANDSHAKE_FAILED = 'no-handshake'
     INVALID_HTTP = 'no-http'
-    # Either side said so in HTTP/2, or it was broken.
+    # Closed by either side, or after a protocol error.
     HTTP2_CLOSED = 'http2-over'
     CLOSE_ANNOUNCED = 'as-told'
-    # Answered before the request's body had been read.
+    # The response was complete before the request body had been read.
     BODY_UNREAD = 'body-unread'
-    # The application broke its answer off, so that it looks cut.
+    # The application aborted a response that had not been completed.
     RESPONSE_ABORTED = 'answer-cut'
     FAULT = 'fault'
 
     @property
     def closed_by(self) -> Side:
-        """Return who closed the connection."""
+        """Return which side closed the connection."""
         return Side.CALLER if self in _BY_CALLER else Side.PROCESS
 
 
@@ -68,7 +68,7 @@
 
 
 class Connection:
-    """One connection of a caller, from its first byte to its end."""
+    """The state of one caller's connection, for logs and metrics."""
 
     __slots__ = (
         'end_reason',
@@ -85,7 +85,7 @@
 
     def __init__(self) -> None:
         self.end_reason: EndReason | None = None
-        # Of the last request, once it is known.
+        # Of the latest request; empty until it is known.
         self.request_id = ''
         self.request_count = 0
         self._opened_s = self._idle_since_s = time.monotonic()
@@ -96,12 +96,12 @@
 
     @property
     def has_request_in_flight(self) -> bool:
-        """Return whether a request has no whole answer yet."""
+        """Return whether a request has no complete response yet."""
         return self._in_flight
 
     @property
     def is_closed_here(self) -> bool:
-        """Return whether this process is known to have closed it."""
+        """Return whether this process closed the connection."""
         return (
             self.end_reason is not None
             and self.end_reason.closed_by is Side.PROCESS
@@ -113,44 +113,44 @@
             self._request_began_s = time.monotonic()
 
     def note_request(self) -> None:
-        """Note that the application has been given a request."""
+        """Note that a request has been passed to the application."""
         self.request_count += 1
         self.request_id = ''
         self._active_requests += 1
         self._in_flight = True
 
     def note_handler_exit(self, is_stream: bool) -> None:
-        """Note that the application is done with a request.
+        """Note that the application has finished handling a request.
 
-        The protocol tells of whole answers, but not of a stream of HTTP/2
-        that its caller has reset.
+        The protocol reports complete responses, but not HTTP/2 streams
+        that the caller has reset.
         """
         self._active_requests -= 1
         if is_stream and self.end_reason is None and not self._active_requests:
             self.note_responses_sent()
 
     def note_responses_sent(self) -> None:
-        """Note that all requests so far have their whole answers."""
+        """Note that all requests so far have complete responses."""
         if self._in_flight and not self._is_aborted:
             self._in_flight = False
             self._idle_since_s = time.monotonic()
 
     def note_end(self, end: EndReason) -> None:
-        """Note what ends the connection; what is noted first stands."""
+        """Note why the connection ends; the first reason noted is kept."""
         if self.end_reason is None:
             self.end_reason = end
             self._ended_s = time.monotonic()
 
     def note_abort(self, end: EndReason) -> None:
-        """Note an end after which no answer can become whole."""
+        """Note an end after which no response can be completed."""
         self.note_end(end)
         self._is_aborted = True
 
     def note_failure(self, end: EndReason) -> None:
-        """Note what the connection's own task ended with.
+        """Note why the connection's task failed.
 
-        A fault cancels the connection's requests first, and they note that
-        they were cut as if by a fault elsewhere.
+        A fault in the task first cancels its requests, which then note
+        PROCESS_ENDED; the fault replaces that reason.
         """
         if (
             end is EndReason.FAULT
@@ -160,16 +160,16 @@
         self.note_end(end)
 
     def report(self) -> None:
-        """Count the end, and log it if a request was under way."""
-        # Each way out of a connection's task notes an end.
+        """Count the end, and log it if a request was in flight."""
+        # Every exit path notes a reason; FAULT covers a missing one.
         end = self.end_reason or EndReason.FAULT
         CONNECTIONS_ENDED.labels(
             end.value, 'yes' if self._in_flight else 'no'
         ).inc()
         if not self._in_flight:
             return
-        # The time under way is negative where the end was decided before
-        # the request was read.
+        # ``under_way_s`` is the time from the request to the end; it is
+        # negative if the end was decided before the request was read.
         loguru.logger.bind(
             event=events.CONNECTION_CUT,
             request_id=self.request_id,
@@ -179,7 +179,7 @@
             age_s=round(self._ended_s - self._opened_s, 3),
             idle_s=round(self._request_began_s - self._idle_since_s, 3),
             under_way_s=round(self._ended_s - self._request_began_s, 6),
-        ).info('a connection ended under a request: {}', end.value)
+        ).info('connection ended with a request in flight: {}', end.value)
 
 
 def of_scope(scope: typing.Mapping[str, typing.Any]) -> Connection:
@@ -189,7 +189,7 @@
 
 
 def count_cut(end: EndReason) -> int:
-    """Return how many connections ended so under a request."""
+    """Count connections that ended for a reason with a request in flight."""
     labels = {'end': end.value, 'under_way': 'yes'}
     name = 'gentianstair_connections_ended_total'
     found = prometheus_client.REGISTRY.get_sample_value(name, labels)
--- a/gentianstair/util/end_reasons.py
+++ b/gentianstair/util/end_reasons.py
@@ -1,4 +1,4 @@
-"""Tell from the server library's state why a connection of a caller ends."""
+"""Derive why a caller's connection ends from the state of Hypercorn."""
 
 import collections.abc
 import typing
@@ -10,7 +10,7 @@
 from gentianstair import errors
 from gentianstair.util import connections
 
-# Ends before which the last answer became whole.
+# Reasons for closing a connection after a complete response.
 AFTER_RESPONSE = frozenset(
     {
         connections.EndReason.CLOSE_ANNOUNCED,
@@ -18,14 +18,14 @@
         connections.EndReason.STOP,
     }
 )
-# Ends of all connections at once.
+# Reasons that end all connections at once.
 _ALL_CONNECTIONS = frozenset(
     {connections.EndReason.GRACE_EXPIRED, connections.EndReason.PROCESS_ENDED}
 )
 
 
 def reason_for_close(protocol: typing.Any) -> connections.EndReason:
-    """Return why the library's protocol closes its connection."""
+    """Return why Hypercorn's protocol closes its connection."""
     if not isinstance(protocol, h11_protocol.H11Protocol):
         return connections.EndReason.HTTP2_CLOSED
     ours = protocol.connection.our_state
@@ -44,7 +44,7 @@
 def reason_for_error(
     error: BaseException, grace: trio.CancelScope
 ) -> connections.EndReason:
-    """Return what ends a connection whose task ends with an error."""
+    """Return why a connection ends whose task raised an error."""
     fault: BaseException | None = error
     if isinstance(error, BaseExceptionGroup):
         fault = error.split(trio.Cancelled)[1]
@@ -66,10 +66,10 @@
     end: connections.EndReason,
     is_http2: bool,
 ) -> None:
-    """Note what ended a request's task before the answer was whole.
+    """Note the error that ended a request before its response.
 
-    Noted here, as the library answers 500 next and closes. Of HTTP/2 it
-    closes the stream alone.
+    Hypercorn then responds with 500 and closes the connection, or only the
+    stream in HTTP/2, without keeping the error.
     """
     if connection.has_request_in_flight and (
         not is_http2 or end in _ALL_CONNECTIONS
@@ -78,7 +78,7 @@
 
 
 def track_requests(app: typing.Any, grace: trio.CancelScope) -> typing.Any:
-    """Return the application, with its connections told of requests."""
+    """Wrap an ASGI application to track requests on their connections."""
 
     async def serve_one(
         scope: dict[str, typing.Any],
--- a/gentianstair/util/http1.py
+++ b/gentianstair/util/http1.py
@@ -1,24 +1,24 @@
-"""Read HTTP/1.1 as the library does, but for what follows the last request."""
+"""Parse HTTP/1.1, ignoring data after the last request."""
 
 import h11
 
 
 class ServerConnection(h11.Connection):
-    """A connection that passes over bytes behind its last request.
+    """An h11 connection that ignores data after its last request.
 
-    RFC 9112, section 9.6: nothing that follows a request with "Connection:
-    close" is processed. The library answers it with 400 and closes, in
-    place of the answer that is under way.
+    RFC 9112, section 9.6: data after a request with "Connection: close"
+    must not be processed. Hypercorn would respond to it with 400 and close,
+    in place of the response that is in flight.
     """
 
     def receive_data(self, data: bytes) -> None:
-        """Take bytes, or b'' for the caller's end."""
+        """Receive data, or b'' at the end of the stream."""
         if data and self.their_state is h11.MUST_CLOSE:
             return
         super().receive_data(data)
 
     def next_event(self) -> h11.Event | type[h11.NEED_DATA | h11.PAUSED]:
-        """Return what comes next; raise RemoteProtocolError at no HTTP."""
+        """Return the next event; raise RemoteProtocolError if invalid."""
         if self.their_state is h11.MUST_CLOSE and self.trailing_data[0]:
             return h11.NEED_DATA
         return super().next_event()
--- a/gentianstair/util/leased_call.py
+++ b/gentianstair/util/leased_call.py
@@ -1,4 +1,4 @@
-"""Send an HTTP call that must not leave after its authority has lapsed."""
+"""Make HTTP calls that must not be sent after a lease has expired."""
 
 import collections.abc
 import json
@@ -17,19 +17,20 @@
 
 READ_BYTES = 65536
 MAX_RESPONSE_BYTES = 262144
-# Closing with this option drops what the kernel has not delivered yet.
+# SO_LINGER of 0 s: closing resets the connection and drops unsent data.
 _RESET_ON_CLOSE = struct.pack('ii', 1, 0)
 
-# Longest time between the two looks at the clock around starting the timer.
+# Longest time from the first lease check to the start of the watchdog; the
+# watchdog fires that long before the lease expires.
 TIMER_MARGIN_S = 0.05
 
-# Returns for how many seconds the call may still be sent; raises
-# LeaseLostError when it may not be sent any more.
+# Returns the seconds left in which the call may be sent; raises LeaseLostError
+# if the lease has expired.
 LeaseCheck = collections.abc.Callable[[], float]
 
 
 class Response(typing.NamedTuple):
-    """The status and the JSON body of an answer."""
+    """The status and the JSON body of a response."""
 
     status: int
     body: typing.Any
@@ -39,8 +40,8 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    # The kernel would go on trying to deliver through a partition, for
-    # many minutes, also while this process is stopped. This bounds it.
+    # Bounds retransmission by the kernel, which would otherwise go on for
+    # minutes in a partition, even while this process is stopped.
     sock.setsockopt(
         socket.IPPROTO_TCP,
         socket.TCP_USER_TIMEOUT,
@@ -52,66 +53,72 @@
 def _encode_request(
     connection: h11.Connection,
     method: str,
-    parts: urllib.parse.SplitResult,
+    split_url: urllib.parse.SplitResult,
     body: typing.Any,
-    extra: collections.abc.Mapping[str, str],
+    extra_headers: collections.abc.Mapping[str, str],
 ) -> bytes:
-    content = b'' if body is None else json.dumps(body).encode()
+    payload = b'' if body is None else json.dumps(body).encode()
     headers = [
-        ('host', parts.netloc),
+        ('host', split_url.netloc),
         ('content-type', 'application/json'),
-        ('content-length', str(len(content))),
+        ('content-length', str(len(payload))),
         ('connection', 'close'),
-        *extra.items(),
+        *extra_headers.items(),
     ]
-    target = parts.path + (f'?{parts.query}' if parts.query else '')
+    target = split_url.path + (
+        f'?{split_url.query}' if split_url.query else ''
+    )
     request = h11.Request(method=method, target=target, headers=headers)
     data = connection.send(request)
-    if content:
-        data += connection.send(h11.Data(data=content))
+    if payload:
+        data += connection.send(h11.Data(data=payload))
     return data + connection.send(h11.EndOfMessage())
 
 
 async def _read_response(
-    connection: h11.Connection, wrapped: trio.socket.SocketType
+    connection: h11.Connection, trio_sock: trio.socket.SocketType
 ) -> Response:
     status = 0
-    content = b''
+    payload = b''
     while True:
         event = connection.next_event()
         if event is h11.NEED_DATA:
-            connection.receive_data(await wrapped.recv(READ_BYTES))
+            connection.receive_data(await trio_sock.recv(READ_BYTES))
         elif isinstance(event, h11.Response):
             status = event.status_code
         elif isinstance(event, h11.Data):
-            content += event.data
-            if len(content) > MAX_RESPONSE_BYTES:
-                raise errors.DecodeError('the answer is too long')
+            payload += event.data
+            if len(payload) > MAX_RESPONSE_BYTES:
+                raise errors.DecodeError(
+                    f'the response exceeds {MAX_RESPONSE_BYTES} bytes'
+                )
         elif isinstance(event, h11.EndOfMessage):
-            return Response(status, json.loads(content or b'null'))
+            return Response(status, json.loads(payload or b'null'))
         elif isinstance(event, h11.ConnectionClosed):
-            raise OSError('closed without an answer')
+            raise OSError('connection closed without a response')
 
 
 def _send_checked(sock: socket.socket, data: bytes, check: LeaseCheck) -> None:
-    """Hand the whole request to the kernel while it may be sent.
+    """Pass the whole request to the kernel while the lease is valid.
 
     Nothing is awaited between the check and the send, so no other task
-    runs. The whole process may still be stopped there, for longer than its
-    authority stands, and would send when it goes on. So the kernel ends it
-    then. The second check makes sure that no stop came before the timer.
+    runs. The process may still be suspended there until the lease has
+    expired; the watchdog then kills it before it can send. The second check
+    detects a suspension before the watchdog was started.
     """
     left_s = check()
     if left_s <= 2 * TIMER_MARGIN_S:
-        # The timer would end the process where it is held up for a moment,
-        # with all callers' requests.
-        raise errors.LeaseLostError('too little time is left to send')
+        # A short delay would let the watchdog kill the process, and with it
+        # all requests in flight.
+        raise errors.LeaseLostError('the lease expires too soon to send')
     with watchdog.kill_after(left_s - TIMER_MARGIN_S):
         if left_s - check() > TIMER_MARGIN_S:
-            raise errors.LeaseLostError('stopped before the send')
+            raise errors.LeaseLostError(
+                'the process was suspended before the send'
+            )
         sent = sock.send(data)
     if sent != len(data):
-        raise OSError('the kernel took only part of the request')
+        raise OSError(f'the kernel took {sent} of {len(data)} request bytes')
 
 
 async def call(
@@ -124,27 +131,28 @@
     timeout_s: float,
     headers: collections.abc.Mapping[str, str] = types.MappingProxyType({}),
 ) -> Response:
-    """Connect, check, send and return the answer.
+    """Connect, check the lease, send and return the response.
 
-    Undelivered bytes are dropped after lifetime_s. Raise LeaseLostError
-    (nothing sent) as check does, and UpstreamError whose verdict is NOT_RUN
-    when nothing was sent and MAY_HAVE_RUN otherwise.
+    Undelivered bytes are dropped after lifetime_s. Raise LeaseLostError if
+    the lease does not allow the send; nothing was sent then. Raise
+    UpstreamError on failure, with the verdict NOT_RUN if nothing was sent
+    and MAY_HAVE_RUN otherwise.
     """
-    parts = urllib.parse.urlsplit(url)
-    if parts.scheme != 'http':
-        raise errors.UserError(f'{url}: orders need a plain http URL')
+    split_url = urllib.parse.urlsplit(url)
+    if split_url.scheme != 'http':
+        raise errors.UserError(f'{url}: the URL must start with http://')
     connection = h11.Connection(h11.CLIENT)
-    data = _encode_request(connection, method, parts, body, headers)
+    data = _encode_request(connection, method, split_url, body, headers)
     verdict_if_failed = verdict.Verdict.NOT_RUN
     sock = _make_socket(lifetime_s)
-    wrapped = trio.socket.from_stdlib_socket(sock)
+    trio_sock = trio.socket.from_stdlib_socket(sock)
     try:
         with trio.fail_after(timeout_s):
-            await wrapped.connect((parts.hostname, parts.port or 80))
+            await trio_sock.connect((split_url.hostname, split_url.port or 80))
             check()
             verdict_if_failed = verdict.Verdict.MAY_HAVE_RUN
             _send_checked(sock, data, check)
-            return await _read_response(connection, wrapped)
+            return await _read_response(connection, trio_sock)
     except errors.LeaseLostError:
         raise
     except (
@@ -158,9 +166,9 @@
             f'{url}: {error!r}', verdict_if_failed
         ) from error
     finally:
-        # A connect that was given up has closed the socket already.
+        # A connect that timed out has already closed the socket.
         if sock.fileno() >= 0:
             sock.setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE
             )
-        wrapped.close()
+        trio_sock.close()
--- a/gentianstair/util/line_writer.py
+++ b/gentianstair/util/line_writer.py
@@ -1,4 +1,4 @@
-"""Write log lines without ever waiting for their reader."""
+"""Write log lines to a pipe without blocking on a slow reader."""
 
 import collections.abc
 import json
@@ -7,20 +7,20 @@
 
 from gentianstair.generated import events
 
-# Held for a reader that is slow; a second of full-rate lines.
+# Bound on the lines that wait for a slow reader.
 MAX_BUFFERED_BYTES = 262144
-# Lines a second, and how many may come at once. A request takes two to four
-# lines; a VM serves some tens a second, and a fourfold burst of them fits.
+# Refill rate and capacity of the token bucket that limits the lines. Each
+# request logs two to four lines.
 LINES_PER_S = 400.0
 MAX_BURST_LINES = 1200.0
 
 
 class LineWriter:
-    """Writes lines to a file descriptor, as fast as its reader takes them.
+    """Writes lines to a non-blocking file descriptor.
 
-    A reader that stops reading fills the pipe, and a write that waited would
-    stop the whole program. What does not fit, and what comes faster than
-    the stated rate, is dropped and counted; the next line says how much.
+    A blocking write would stop the whole program if the reader stalls and
+    the pipe is full. Lines that exceed the buffer or the rate limit are
+    dropped; a notice with their number precedes the next line.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._dropped_lines = 0
 
     def write(self, line: str) -> None:
-        """Write one line, which ends in a line feed, or drop it."""
+        """Write a line, which must end in a line feed, or drop it."""
         if not self._take_token():
             self._dropped_lines += 1
             return
@@ -66,13 +66,13 @@
         return True
 
     def allow_one_line(self) -> None:
-        """Let one more line through, whatever the rate was."""
+        """Exempt the next line from the rate limit."""
         self._tokens = max(1.0, self._tokens)
 
     def drain(self, timeout_s: float) -> None:
-        """Write all that is held; wait for its reader for timeout_s at most.
+        """Write the buffered lines; wait for at most timeout_s.
 
-        Only for the end of the program: everything else waits too.
+        Blocks the whole program, so use it only before the process exits.
         """
         deadline_s = self._clock() + timeout_s
         ready = select.poll()
@@ -83,7 +83,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as much of the buffer as the pipe takes without waiting."""
         try:
             while self._buffer:
                 taken = os.write(self._fd, self._buffer)
@@ -91,5 +91,5 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more; there is nowhere to tell it.
+            # The reader is gone, and there is no other place to log to.
             self._buffer.clear()
--- a/gentianstair/util/log_lines.py
+++ b/gentianstair/util/log_lines.py
@@ -1,21 +1,21 @@
-"""Read JSON log lines of any size and state in constant memory."""
+"""Read JSON log lines in constant memory, skipping malformed ones."""
 
 import collections.abc
 import json
 import typing
 
-# A longer line is no line of ours; it is counted as unreadable and skipped.
+# Longer lines are counted as unreadable and skipped.
 MAX_LINE_BYTES = 65536
 
 Line = dict[str, typing.Any]
 
 
 class Reader:
-    """Lines of several streams, one after the other.
+    """Iterates over the log lines of several streams in turn.
 
-    ``read`` and ``unreadable`` count the lines so far. Lines may be cut,
-    mixed with other text, or of another version: what is no JSON object
-    with a time is counted and passed over.
+    ``line_count`` and ``unreadable_count`` count the lines so far. A line
+    is unreadable if it is not a JSON object with a timestamp, for example
+    because it is truncated or mixed with other text.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
 def _split(
     stream: typing.BinaryIO,
 ) -> collections.abc.Iterator[bytes | None]:
-    """Yield lines, None for one that is too long."""
+    """Yield lines, or None for a line that is too long."""
     while data := stream.readline(MAX_LINE_BYTES):
         if len(data) < MAX_LINE_BYTES or data.endswith(b'\n'):
             yield data
@@ -50,9 +50,9 @@
 
 
 def parse(data: bytes) -> Line | None:
-    """Return the object in a line, or None.
+    """Return the JSON object in a line, or None if there is none.
 
-    Text before it, such as a time that a collector adds, is passed over.
+    Text before the object, such as a collector's timestamp, is ignored.
 
     >>> parse(b'x 1 {"at": "2026", "event": "answer"}')['event']
     'answer'
--- a/gentianstair/util/logs.py
+++ b/gentianstair/util/logs.py
@@ -1,4 +1,4 @@
-"""Write logs as JSON lines to standard error, never with a key in them."""
+"""Write logs as JSON lines to standard error, with secrets redacted."""
 
 import json
 import logging
@@ -10,7 +10,7 @@
 
 import loguru
 
-# Fields that may be bound; each has few or short values.
+# Names of the fields that log lines may bind.
 FIELDS = (
     'request_id',
     'customer',
@@ -25,14 +25,14 @@
 _SECRET_NAMES = frozenset(
     {'authorization', 'api_key', 'key', 'secret', 'password'}
 )
-# A caller key as granted, and a private key.
+# The keys issued to callers, and PEM private keys.
 _SECRET_PATTERN = re.compile(
     r'gst_[A-Za-z0-9_-]{8,}'
     r'|-----BEGIN[A-Z ]*PRIVATE KEY-----.*?(?:-----END|$)',
     re.DOTALL,
 )
-# What is assigned to a name that promises a secret, or follows "Bearer". A
-# header shows as ``authorization: x``, ``'authorization', 'x'`` or
+# A value that follows the name of a secret, or "Bearer" or "Basic". Headers
+# appear as ``authorization: x``, ``'authorization', 'x'`` or
 # ``b'authorization', b'x'``.
 _ASSIGNED_SECRET_PATTERN = re.compile(
     r'''((?:authorization|api[-_]key|password|secret)['"]?\s*[:=,]\s*'''
@@ -43,7 +43,7 @@
 
 
 def redact(text: str) -> str:
-    """Return text without the secrets in it.
+    """Return the text with its secrets replaced.
 
     >>> redact('sent Authorization: Bearer abc.def-1 to engine-1')
     'sent Authorization: [redacted] to engine-1'
@@ -55,7 +55,7 @@
 
 
 def _sanitize(value: typing.Any) -> typing.Any:
-    """Return a value as JSON can carry it, redacted at every depth."""
+    """Return a value in JSON types, redacted at every depth."""
     if value is None or isinstance(value, (bool, int, float)):
         return value
     if isinstance(value, dict):
@@ -63,13 +63,13 @@
     if isinstance(value, (list, tuple, set, frozenset)):
         return [_sanitize(item) for item in value]
     text = value if isinstance(value, str) else repr(value)
-    # Cut twice: first so that a huge text costs little to search, then so
-    # that no key is cut in two and slips past the search.
+    # Truncated before the search to bound its cost, and again after it, so
+    # that a key that the first cut splits is not logged in part.
     return redact(text[: 2 * MAX_TEXT_CHARS])[:MAX_TEXT_CHARS]
 
 
 def _sanitize_field(name: typing.Any, value: typing.Any) -> typing.Any:
-    """Return the value of a named field; a secret's name hides it whole."""
+    """Return a field's value, redacted whole if its name is a secret's."""
     if str(name).lower().replace('-', '_') in _SECRET_NAMES:
         return REDACTED
     return _sanitize(value)
@@ -87,25 +87,25 @@
         line[name] = _sanitize_field(name, value)
     error = record['exception']
     if error is not None:
-        # Formatted here, without values of variables: loguru's own
-        # formatter may print them, and a key would be among them.
+        # Formatted here, as loguru's formatter may print the values of
+        # variables, which can contain keys.
         text = ''.join(traceback.format_exception(*error))
         line['exception'] = redact(text)[-MAX_TEXT_CHARS:]
     return json.dumps(line, default=str) + '\n'
 
 
 class Stream(typing.Protocol):
-    """What lines are written to."""
+    """A destination of log lines."""
 
     def write(self, line: str, /) -> typing.Any:
-        """Take one line."""
+        """Write one line."""
 
     def flush(self) -> None:
-        """Hand on what was taken."""
+        """Flush the written lines."""
 
 
 class _JsonSink:
-    """Write each record as a line to a stream."""
+    """Write each loguru record to a stream as a JSON line."""
 
     def __init__(self, stream: Stream) -> None:
         self._stream = stream
@@ -116,7 +116,7 @@
 
 
 class _LibraryLogHandler(logging.Handler):
-    """Hand what libraries log over to our sink."""
+    """Forward records of the logging module to loguru."""
 
     def emit(self, record: logging.LogRecord) -> None:
         """See logging.Handler."""
@@ -130,10 +130,12 @@
     error: BaseException,
     trace: types.TracebackType | None,
 ) -> None:
-    """Log what ends the process; the interpreter would print it as text."""
+    """Log an uncaught exception as JSON instead of printing it."""
     if issubclass(kind, KeyboardInterrupt):
         return
-    loguru.logger.opt(exception=(kind, error, trace)).critical('crashed')
+    loguru.logger.opt(exception=(kind, error, trace)).critical(
+        'uncaught exception'
+    )
 
 
 def setup(
@@ -144,11 +146,11 @@
 ) -> None:
     """Send the process's logs to a stream, standard error by default.
 
-    Warnings of libraries and what ends the process go there too, so that
-    nothing is written beside the sink and its redaction.
+    Warnings of libraries and uncaught exceptions go there too, so that
+    they are redacted as well.
 
-    Call it once, first in main. Bind further fields of FIELDS where they
-    are known: ``loguru.logger.bind(request_id=...).info('...')`` or
+    Call it once at the start of main. Bind further fields of FIELDS where
+    they are known: ``loguru.logger.bind(request_id=...).info('...')`` or
     ``with loguru.logger.contextualize(...)``.
     """
     loguru.logger.remove()
--- a/gentianstair/util/prefix_hashing.py
+++ b/gentianstair/util/prefix_hashing.py
@@ -1,4 +1,4 @@
-"""Name the blocks of a prompt as engines' prefix caches name them."""
+"""Hash the blocks of a prompt as the engines' prefix caches do."""
 
 import collections.abc
 import struct
@@ -15,10 +15,11 @@
     salt: str = '',
     block_tokens: int = work.BLOCK_TOKENS,
 ) -> tuple[int, ...]:
-    """Return the hash of each whole block of tokens, from the start.
+    """Return the chained hash of each full block of tokens.
 
-    A hash covers the salt, all earlier blocks and its own tokens, so two
-    customers never share a block, and equal hashes mean equal prefixes.
+    A hash covers the salt, all earlier blocks and the block's own tokens.
+    Equal hashes thus mean equal prefixes, and blocks with different salts,
+    such as those of two customers, never match.
 
     >>> tokens = ['word'] * 130
     >>> len(block_hashes(tokens)), len(block_hashes(tokens[:63]))
--- a/gentianstair/util/serving.py
+++ b/gentianstair/util/serving.py
@@ -1,4 +1,4 @@
-"""Serve an application on listening sockets until it is stopped."""
+"""Serve an ASGI application on a listening socket until shutdown."""
 
 import collections.abc
 import contextlib
@@ -34,21 +34,21 @@
 BACKLOG = 4096
 MAX_HEADER_BYTES = 32768
 KEEP_ALIVE_S = 75.0
-# Of the keep-alive time, told to callers: the rest is for a request of theirs
-# that is on its way by then.
+# Share of the keep-alive time that responses advertise. The rest leaves time
+# for a request to arrive that was sent just before the advertised end.
 ADVERTISED_KEEP_ALIVE_SHARE = 0.9
-# Longest wait of one part of an answer for a caller to take it.
+# Longest wait for a caller to take one chunk of a response.
 SEND_STALL_S = 10.0
 SEND_CHUNK_BYTES = 65536
-# Kept small, or a caller that reads slowly would have megabytes to take
-# before the kernel lets the next part in, and look as if it had stopped.
+# With a large kernel buffer a slow caller would have to read megabytes before
+# the next chunk fits, and would look stalled.
 SEND_BUFFER_BYTES = 131072
 
 
 def listen(address: str, reuse_port: bool = False) -> socket.socket:
-    """Return a listening socket; raise UserError if it can't be had.
+    """Return a listening socket; raise UserError if binding fails.
 
-    With reuse_port several processes of a VM share the address.
+    With reuse_port several processes on a VM can share the address.
     """
     host, port = addresses.parse(address)
     family = socket.AF_INET6 if ':' in host else socket.AF_INET
@@ -74,18 +74,18 @@
 
 
 def _is_readable(sock: trio.socket.SocketType) -> bool:
-    """Return whether bytes or an end came that nobody has read."""
+    """Return whether there is unread data or an unread end of stream."""
     poll = select.poll()
     poll.register(sock, select.POLLIN)
     return bool(poll.poll(0))
 
 
 class _ConnectionServer(tcp_server.TCPServer):
-    """A connection that its own reader ends, and whose writes are cheap.
+    """Serves one connection; it bounds writes and closes when idle.
 
-    The library's own write takes a lock and a shielded scope each time, a
-    third of what a relayed token costs, and waits without limit for a
-    caller that has stopped reading, which would hold an engine's slot.
+    Hypercorn's own write takes a lock and a shielded cancel scope each
+    time, which is costly per relayed token. It also waits without limit for
+    a caller that has stopped reading, which would keep an engine slot busy.
     """
 
     send_stall_s = SEND_STALL_S
@@ -112,7 +112,7 @@
         self._send_scope = trio.CancelScope()
 
     def stop(self) -> None:
-        """End as soon as no request is under way, or with the grace."""
+        """Close once no request is in flight, or when the grace expires."""
         self._idle_timer.stop(trio.current_time())
         self._receive_scope.deadline = self._idle_timer.deadline_s
         self._send_scope.deadline = min(
@@ -120,14 +120,14 @@
         )
 
     async def _idle_timeout(self) -> None:
-        """Leave the end of an idle connection to the task that reads.
+        """Disable Hypercorn's idle timeout; the reader task handles it.
 
-        A task beside it may come to close in the same turn of the event
-        loop in which a request is read and handed to the application.
+        A separate task could close the connection in the same turn of the
+        event loop in which a request is read and passed to the application.
         """
 
     async def _read_data(self) -> None:
-        """Read until the caller sends no more or is idle for too long."""
+        """Read until the caller closes or the idle timeout expires."""
         protocol = self.protocol.protocol
         if isinstance(protocol, h11_protocol.H11Protocol):
             protocol.connection = http1.ServerConnection(
@@ -142,7 +142,7 @@
         await self.protocol.handle(events.Closed())
 
     async def _receive(self) -> bytes | None:
-        """Return what came, nothing at its end, None if none can come."""
+        """Return data, b'' at the end of the stream, None if closed."""
         while True:
             self._receive_scope = trio.CancelScope(
                 deadline=self._idle_timer.deadline_s
@@ -162,16 +162,16 @@
             self.connection.note_end(connections.EndReason.CALLER_RESET)
             return None
         except trio.ClosedResourceError:
-            # Closed here; noted where that was decided.
+            # Closed by this process, which has noted the reason.
             return None
         if not data:
             self.connection.note_end(connections.EndReason.CALLER_CLOSED)
         return bytes(data)
 
     def _end_reading_if_idle(self) -> bool:
-        """Read no further if nothing came; return whether that is so.
+        """Stop reading if there is no unread data; return whether stopped.
 
-        Nothing may be awaited here: what comes in between would be lost.
+        Must not await: data that arrives after the test would be lost.
         """
         sock = self._raw_socket()
         if _is_readable(sock):
@@ -183,7 +183,7 @@
             else connections.EndReason.KEEP_ALIVE_EXPIRED
         )
         with contextlib.suppress(OSError):
-            # The caller learns at once that it has to connect anew.
+            # Tells the caller at once that the connection is closed.
             sock.shutdown(socket.SHUT_WR)
         return True
 
@@ -203,7 +203,7 @@
             )
             raise
         else:
-            # Stands where it was broken before it could be read.
+            # Applies if the connection broke before the first read.
             self.connection.note_end(
                 connections.EndReason.HANDSHAKE_FAILED
                 if self._fd is None
@@ -213,7 +213,7 @@
             self.connection.report()
 
     def _note_progress(self, event: events.Updated) -> None:
-        """Note a new request or a whole answer."""
+        """Note a new request or a complete response."""
         if event.idle:
             self.connection.note_responses_sent()
             self._idle_timer.response_sent(trio.current_time())
@@ -223,14 +223,17 @@
         self._receive_scope.deadline = self._idle_timer.deadline_s
 
     def _note_idle_http2(self) -> None:
-        """Note that no stream is left; the library tells of answers only."""
+        """Start the idle period if no HTTP/2 stream is open.
+
+        Hypercorn reports completed responses, but not reset streams.
+        """
         protocol = self.protocol.protocol
         if isinstance(protocol, h2_protocol.H2Protocol) and protocol.idle:
             self._idle_timer.response_sent(trio.current_time())
             self._receive_scope.deadline = self._idle_timer.deadline_s
 
     def _note_closing(self) -> None:
-        """Note why the protocol closes."""
+        """Note why the protocol closes the connection."""
         end = end_reasons.reason_for_close(self.protocol.protocol)
         if end in end_reasons.AFTER_RESPONSE:
             self.connection.note_responses_sent()
@@ -242,13 +245,13 @@
             return
         if isinstance(event, events.Closed):
             self._note_closing()
-            # Quart cancels its request once the answer has been sent, and
-            # with it what follows in the same task: the connection would
-            # not be closed, and stay open.
+            # Quart cancels a request's task once the response is sent.
+            # Without the shield this close would be cancelled with it, and
+            # the connection would stay open.
             deadline_s = self._send_deadline_s()
             with trio.CancelScope(deadline=deadline_s, shield=True):
                 await super().protocol_send(event)
-            # It may wait behind this answer to read the next request.
+            # The reader may be waiting for this response to be complete.
             self._reader_scope.cancel()
             return
         data = event.data
@@ -258,40 +261,40 @@
             await self._write_all(data)
 
     def _write_now(self, data: bytes) -> int:
-        """Return how much the kernel took at once."""
+        """Write without waiting; return the number of bytes taken."""
         if self.stream.socket.fileno() < 0:
-            # Closed meanwhile; its number may belong to another socket.
+            # Already closed; the descriptor may belong to another socket.
             return 0
         try:
             return os.write(self._fd, data)
         except OSError:
-            # Full, or broken: the ordinary way waits, or reports it.
+            # Full or broken: ``_write_all`` waits for it or notes the error.
             return 0
 
     async def _write_all(self, data: bytes) -> None:
         async with self.send_lock:
             end = connections.EndReason.SEND_STALL
             try:
-                taken = await self._write_chunks(data)
+                is_taken = await self._write_chunks(data)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
-                # Where it was closed here, that was noted before.
-                taken = False
+                # If this process closed it, the reason is already noted.
+                is_taken = False
                 end = connections.EndReason.CALLER_RESET
-        if not taken:
+        if not is_taken:
             self.connection.note_abort(end)
-            # Cut off in the middle, the answer cannot go on. Closing also
-            # tells the application that the caller has gone.
+            # A partly written response cannot be continued. The Closed
+            # event tells the application that the caller has disconnected.
             await trio.aclose_forcefully(self.stream)
             await self.protocol.handle(events.Closed())
             self._reader_scope.cancel()
 
     def _send_deadline_s(self) -> float:
-        """Return how long a caller may take to read what is sent now."""
+        """Return the deadline for the caller to take the next chunk."""
         deadline_s = trio.current_time() + self.send_stall_s
         return min(deadline_s, self._grace.deadline)
 
     async def _write_chunks(self, data: bytes) -> bool:
-        """Return whether the caller took each part in time."""
+        """Return whether the caller took each chunk in time."""
         for start in range(0, len(data), SEND_CHUNK_BYTES):
             deadline_s = self._send_deadline_s()
             self._send_scope = trio.CancelScope(
@@ -307,16 +310,16 @@
 
 
 async def _run_isolated(server: _ConnectionServer) -> None:
-    """Serve a connection; a fault in it ends no other one.
+    """Serve a connection, and log its errors instead of raising them.
 
-    The library raises on bytes that it did not expect, and all connections
-    share a nursery: raised further it would cut every answer under way.
+    Hypercorn raises on some unexpected input. All connections share a
+    nursery, so a raised error would cancel every response in flight.
     """
     try:
         await server.run()
     except* Exception:
         loguru.logger.bind(event=log_events.FAULT).exception(
-            'a connection failed inside this process'
+            'unexpected error while serving a connection'
         )
 
 
@@ -330,22 +333,22 @@
 
 
 class _Config(hypercorn.config.Config):
-    """The library's settings, and what it says with each answer."""
+    """Hypercorn settings that add a keep-alive header to responses."""
 
     min_keep_alive_s: collections.abc.Callable[[], float] | None = None
 
     def idle_timeout_s(self) -> float:
-        """Return how long a connection without a request is kept now."""
+        """Return how long an idle connection is kept at present."""
         if self.min_keep_alive_s is None:
             return self.keep_alive_timeout
         return max(self.keep_alive_timeout, self.min_keep_alive_s())
 
     def response_headers(self, protocol: str) -> list[tuple[bytes, bytes]]:
-        """Return the headers that each answer bears, by its protocol."""
+        """Return the headers that the server adds to each response."""
         headers = super().response_headers(protocol)
         advertised_s = int(ADVERTISED_KEEP_ALIVE_SHARE * self.idle_timeout_s())
         if protocol == 'h11' and advertised_s:
-            # A caller that comes back in time meets no close of ours.
+            # Callers that reuse a connection in time avoid a racing close.
             headers.append((b'keep-alive', b'timeout=%d' % advertised_s))
         return headers
 
@@ -373,24 +376,25 @@
     keep_alive_s: float | None = None,
     min_keep_alive_s: collections.abc.Callable[[], float] | None = None,
 ) -> None:
-    """Serve until shutdown returns, then until running answers ended.
+    """Serve until shutdown returns, then finish the responses in flight.
 
-    A caller that takes no part of its answer for send_stall_s is cut off, a
-    connection without a request for keep_alive_s is closed. Without
-    keep_alive_s that is the default, or min_keep_alive_s if it is longer.
+    After graceful_timeout_s the remaining connections are closed. So are,
+    at any time, connections whose caller takes no data for send_stall_s,
+    and connections that are idle for keep_alive_s. Without keep_alive_s its
+    default applies, or the result of min_keep_alive_s if that is longer.
     """
     config = _make_config(graceful_timeout_s, keep_alive_s or KEEP_ALIVE_S)
     if keep_alive_s is None:
         config.min_keep_alive_s = min_keep_alive_s
-    # Of all connections; its deadline is the end of the grace.
+    # Covers all connections; its deadline ends the grace period.
     grace = trio.CancelScope()
     wrapped = app_wrappers.ASGIWrapper(end_reasons.track_requests(app, grace))
     state: dict[str, typing.Any] = {}
-    life = lifespan.Lifespan(wrapped, config, state)
+    app_lifespan = lifespan.Lifespan(wrapped, config, state)
     worker = worker_context.WorkerContext(None)
     servers: set[_ConnectionServer] = set()
 
-    async def handle(stream: trio.abc.Stream) -> None:
+    async def serve_connection(stream: trio.abc.Stream) -> None:
         server = _ConnectionServer(
             wrapped, config, worker, state, stream, grace
         )
@@ -403,52 +407,52 @@
         finally:
             servers.discard(server)
 
-    async with trio.open_nursery() as life_nursery:
-        await life_nursery.start(life.handle_lifespan)
-        await life.wait_for_startup()
+    async with trio.open_nursery() as lifespan_nursery:
+        await lifespan_nursery.start(app_lifespan.handle_lifespan)
+        await app_lifespan.wait_for_startup()
         with grace:
-            async with trio.open_nursery() as callers:
+            async with trio.open_nursery() as connection_nursery:
                 listener = _make_listener(sock, context)
-                async with trio.open_nursery() as accepting:
-                    accepting.start_soon(
+                async with trio.open_nursery() as accept_nursery:
+                    accept_nursery.start_soon(
                         functools.partial(
                             trio.serve_listeners,
-                            handle,
+                            serve_connection,
                             [listener],
-                            handler_nursery=callers,
+                            handler_nursery=connection_nursery,
                         )
                     )
                     await shutdown()
-                    accepting.cancel_scope.cancel()
-                # Idle connections close now, busy ones after their answer.
+                    accept_nursery.cancel_scope.cancel()
+                # Idle connections close now, others after their response.
                 await worker.terminated.set()
                 grace.deadline = trio.current_time() + graceful_timeout_s
                 for server in servers:
                     server.stop()
-        await life.wait_for_shutdown()
-        life_nursery.cancel_scope.cancel()
+        await app_lifespan.wait_for_shutdown()
+        lifespan_nursery.cancel_scope.cancel()
 
 
 def watch_stop_signals() -> trio.Event:
-    """Return what is set when this process is asked to stop.
+    """Return an event that SIGTERM or SIGINT sets.
 
-    A second SIGTERM changes nothing: answers are still under way. A second
-    SIGINT ends the process at once.
+    A second SIGTERM has no effect, as the process is already draining. A
+    second SIGINT ends the process at once.
     """
-    asked = trio.Event()
+    stop_requested = trio.Event()
     token = trio.lowlevel.current_trio_token()
 
-    def note(signum: int, _: types.FrameType | None) -> None:
+    def on_signal(signum: int, _: types.FrameType | None) -> None:
         if signum == signal.SIGINT:
             signal.signal(signal.SIGINT, signal.SIG_DFL)
         with contextlib.suppress(trio.RunFinishedError):
-            token.run_sync_soon(asked.set, idempotent=True)
+            token.run_sync_soon(stop_requested.set, idempotent=True)
 
     for signum in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(signum, note)
-    return asked
+        signal.signal(signum, on_signal)
+    return stop_requested
 
 
 async def wait_for_stop_signal() -> None:
-    """Return when this process is asked to stop."""
+    """Wait for SIGTERM or SIGINT."""
     await watch_stop_signals().wait()
--- a/gentianstair/util/steady_wall_clock.py
+++ b/gentianstair/util/steady_wall_clock.py
@@ -1,20 +1,20 @@
-"""Tell the time of day so that a jump of the VM's clock does not show."""
+"""Provide a wall clock that ignores short jumps of the VM's clock."""
 
 import typing
 
 from gentianstair.util import clock as clocks
 
-# A difference that stays for so long is a correction, not a jump that is
-# taken back; smaller differences are drift and are followed at once.
+# A jump that lasts for this long is accepted as a correction.
 CORRECTION_DELAY_S = 30.0
 MAX_DRIFT_S = 0.25
 
 
 class SteadyWallClock:
-    """Seconds since 1970, carried forward on a clock that does not jump.
+    """Unix time that advances with a monotonic clock.
 
-    The time of day may jump by seconds and back again. Usage counted then
-    would fall into the wrong window.
+    The VM's clock may jump by seconds and back again, and usage counted in
+    between would fall into the wrong window. Differences of up to
+    MAX_DRIFT_S are followed at once, larger ones after CORRECTION_DELAY_S.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
         self._changed_since_s: float | None = None
 
     def __call__(self) -> float:
-        """Return the time of day."""
+        """Return the Unix time in seconds."""
         now_s = self._monotonic_clock()
         offset_s = self._wall_clock() - now_s
         if abs(offset_s - self._offset_s) <= MAX_DRIFT_S:
--- a/gentianstair/util/tls.py
+++ b/gentianstair/util/tls.py
@@ -1,4 +1,4 @@
-"""Make TLS contexts from files and renew them when the files change."""
+"""Create TLS contexts from files, and reload them when files change."""
 
 import ipaddress
 import pathlib
@@ -15,7 +15,7 @@
 
 
 class CertificateFiles(typing.NamedTuple):
-    """The PEM files of one side; ``ca`` is empty unless peers are checked."""
+    """Paths of PEM files; ``ca`` is empty if peers are not verified."""
 
     cert: str
     key: str
@@ -23,7 +23,10 @@
 
 
 def is_enabled(files: CertificateFiles, what: str) -> bool:
-    """Return whether TLS is on; raise SettingsError if files are missing."""
+    """Return whether TLS is on.
+
+    Raise SettingsError if only one of certificate and key is given.
+    """
     if not any(files):
         return False
     if not files.cert or not files.key:
@@ -34,10 +37,10 @@
 
 
 def check_plaintext_allowed(address: str, allowed: bool, flag: str) -> None:
-    """Raise SettingsError unless plain connections may use an address.
+    """Raise SettingsError unless an address may be used without TLS.
 
-    Without TLS a caller's key could be read on the way, so only loopback is
-    served plain, or any address by the explicit ``--insecure-plain``.
+    A caller's key could be read in transit, so this is limited to loopback
+    unless ``--insecure-plain`` is given.
     """
     host, _ = addresses.parse(address)
     if allowed or host == 'localhost':
@@ -60,7 +63,7 @@
         if files.ca:
             context.load_verify_locations(files.ca)
     except OSError as error:
-        # ssl.SSLError is an OSError too. Its text names no file.
+        # This includes ssl.SSLError, whose message does not name the file.
         raise errors.SettingsError(
             f'{", ".join(filter(None, files))}: not usable; {error}'
         ) from error
@@ -68,7 +71,7 @@
 
 
 def make_server_context(files: CertificateFiles) -> ssl.SSLContext:
-    """Return a context that serves; it asks for certificates if ca is set.
+    """Return a server context; with ``ca`` it requires client certificates.
 
     Raise SettingsError if a file cannot be used.
     """
@@ -77,8 +80,8 @@
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     if files.ca:
         context.verify_mode = ssl.CERT_REQUIRED
-        # A resumed session is not verified again, so a peer whose authority
-        # was withdrawn could come back with a ticket of before.
+        # Resumed sessions are not verified again, so without this a peer
+        # could reconnect with a ticket after its authority was removed.
         context.num_tickets = 0
         context.options |= ssl.OP_NO_TICKET
         context.minimum_version = ssl.TLSVersion.TLSv1_3
@@ -86,12 +89,11 @@
 
 
 def make_client_context(files: CertificateFiles) -> ssl.SSLContext:
-    """Return a context that connects to peers and shows a certificate.
+    """Return a client context for peers, with a client certificate.
 
-    A peer is known by the authority that signed its certificate, not by a
-    name: VMs are replaced and addressed by IP number, and whoever holds a
-    certificate of the private authority is of the fleet. Raise
-    SettingsError if a file cannot be used.
+    Peers are authenticated by the private authority that signed their
+    certificate, not by host name, as VMs are replaced and addressed by IP
+    address. Raise SettingsError if a file cannot be used.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname = False
@@ -103,7 +105,7 @@
 def _file_versions(
     files: CertificateFiles,
 ) -> tuple[tuple[int, int, int], ...]:
-    """Return what changes when a file is written or replaced."""
+    """Return file attributes that change when a file is replaced."""
     found = []
     for name in filter(None, files):
         stat = pathlib.Path(name).stat()
@@ -112,14 +114,13 @@
 
 
 class Credentials:
-    """The contexts of one set of files, made again when the files change.
-
-    ``server`` stays the same object, so that it can be given to a listener
-    once; it hands each new connection to the newest context. Loading new
-    files into a context in use would not do: a certificate of another key
-    type and a withdrawn authority would both stay in it. ``client`` is to
-    be read for each connection; it is None when there is no authority to
-    check a server with.
+    """TLS contexts of one set of files, replaced when the files change.
+
+    ``server`` stays the same object, so that a listener can keep it; it
+    switches each new connection to the current context. Files are not
+    loaded into an existing context, as a certificate of another key type or
+    a removed authority would stay in it. Read ``client`` for each new
+    connection; it is None without an authority to verify servers with.
     """
 
     def __init__(self, files: CertificateFiles) -> None:
@@ -133,15 +134,15 @@
     def _switch_context(
         self, connection: ssl.SSLObject, name: str | None, _: ssl.SSLContext
     ) -> None:
-        """Move a connection that says hello to the newest context."""
+        """Switch a new connection to the current context."""
         connection.context = self._current
 
     def reload_if_changed(self) -> bool:
-        """Take up changed files; return whether there were any.
+        """Reload the files if they changed; return whether they did.
 
-        Between the writes of two files the pair does not match, or one is
-        cut short. It then fails to load, the old contexts stay in use and
-        the files are tried again at the next check.
+        While the files are being replaced, one may be incomplete or not
+        match the other. Loading then fails, the old contexts stay in use,
+        and the next call tries again.
         """
         try:
             versions = _file_versions(self.files)
@@ -157,7 +158,7 @@
         return True
 
     async def watch_files(self, interval_s: float = RELOAD_INTERVAL_S) -> None:
-        """Check forever."""
+        """Reload changed files periodically, forever."""
         while True:
             await trio.sleep(interval_s)
             self.reload_if_changed()
@@ -166,10 +167,10 @@
 def make_caller_credentials(
     cert: str, key: str, listen: str, insecure_plain: bool
 ) -> Credentials | None:
-    """Return what callers are served with, or None if TLS is off.
+    """Return the credentials for serving callers, or None without TLS.
 
-    Raise SettingsError if a file is missing or cannot be used, or if TLS is
-    off where only loopback may be served plain.
+    Raise SettingsError if a file is missing or cannot be used, or if the
+    address must not be served without TLS.
     """
     files = CertificateFiles(cert, key)
     if is_enabled(files, '--tls-cert-file, --tls-key-file'):
@@ -179,7 +180,7 @@
 
 
 def make_peer_credentials(files: CertificateFiles) -> Credentials | None:
-    """Return what peers meet each other with, or None if TLS is off.
+    """Return the credentials for peer connections, or None without TLS.
 
     Raise SettingsError if a file is missing or cannot be used.
     """
--- a/gentianstair/util/usage_rows.py
+++ b/gentianstair/util/usage_rows.py
@@ -1,4 +1,4 @@
-"""Add and compare rows of usage."""
+"""Sum and subtract usage rows."""
 
 import collections.abc
 
@@ -9,14 +9,14 @@
 
 
 def key_of(row: messages.UsageRow) -> Key:
-    """Return what tells rows apart."""
+    """Return the key of a row."""
     return row['window'], row['customer'], row['upstream_kind']
 
 
 def sum_by_key(
     rows: collections.abc.Iterable[messages.UsageRow],
 ) -> dict[Key, messages.UsageRow]:
-    """Return rows by their key, added up where several share one."""
+    """Return rows by key, summing rows with the same key."""
     found: dict[Key, messages.UsageRow] = {}
     for row in rows:
         known = found.get(key_of(row))
@@ -39,7 +39,7 @@
 def subtract(
     first: messages.UsageRow, second: messages.UsageRow | None
 ) -> messages.UsageRow:
-    """Return what first has above second, never below zero."""
+    """Return first minus second, with counts of at least zero."""
     if second is None:
         return first
     return {
@@ -55,7 +55,7 @@
 
 
 def is_empty(row: messages.UsageRow) -> bool:
-    """Return whether a row counts nothing."""
+    """Return whether all counts of a row are zero."""
     return not (
         row['requests'] or row['prompt_tokens'] or row['output_tokens']
     )
--- a/gentianstair/util/watchdog.py
+++ b/gentianstair/util/watchdog.py
@@ -1,4 +1,4 @@
-"""End this process when a step takes too long, even while it is stopped."""
+"""Kill this process if a step takes too long, even while suspended."""
 
 import collections.abc
 import contextlib
@@ -7,13 +7,13 @@
 
 @contextlib.contextmanager
 def kill_after(timeout_s: float) -> collections.abc.Iterator[None]:
-    """Have the kernel end this process if the block is not left in time.
+    """Have the kernel kill this process if the block outlasts timeout_s.
 
-    A process that is stopped inside the block and goes on later would take
-    its next step with knowledge that is out of date; no check of its own
-    can prevent that, as the stop may come after any check. The kernel's
-    timer runs on while the process is stopped. Its signal, left at its
-    default action, is delivered before the next instruction is run.
+    A process that is suspended in the block would continue with outdated
+    state; its own checks cannot prevent that, as the suspension may follow
+    any check. The kernel's timer keeps running while the process is
+    stopped, and SIGALRM, with its default action, kills the process before
+    it runs another instruction.
 
     The block must not await, and must run on the main thread.
     """
