--- a/test/gateway/test_kept_connections.py
+++ b/test/gateway/test_kept_connections.py
@@ -70,7 +70,7 @@
 async def _send_one_per_turn(gateway, callers):
     for name, caller in callers.items():
         caller.send(_request(gateway, name))
-        TRANSPORT.wait_arrival()
+        TRANSPORT.wait_delivered()
         await trio.lowlevel.checkpoint()
 
 
@@ -114,7 +114,7 @@
     async with sites.running() as site:
         async with gateways.running(site, tmp_path) as (gateway,):
             tracker.callers = await _connect_kept(gateway, names)
-            keep_alive_harness.set_order(monkeypatch, [last_first])
+            keep_alive_harness.set_task_order(monkeypatch, [last_first])
             stop.set()
             await _send_one_per_turn(gateway, tracker.callers)
             await tracker.read_to_end()
@@ -136,7 +136,7 @@
         async with gateways.running(site, tmp_path) as (gateway,):
             tracker.callers = await _connect_kept(gateway, names)
             await trio.sleep(SETTLE_S)
-            keep_alive_harness.set_order(monkeypatch, [last_first])
+            keep_alive_harness.set_task_order(monkeypatch, [last_first])
             for name, caller in tracker.callers.items():
                 caller.send(_request(gateway, name))
             time.sleep(BLOCK_S)
--- a/test/util/__init__.py
+++ b/test/util/__init__.py
@@ -1,1 +1,1 @@
-"""Test the small helpers."""
+"""Tests of the shared helpers."""
--- a/test/util/keep_alive_harness.py
+++ b/test/util/keep_alive_harness.py
@@ -1,4 +1,4 @@
-"""Play requests on kept connections around the moment of their closing."""
+"""A server and callers whose requests race the close of a connection."""
 
 import contextlib
 import itertools
@@ -14,28 +14,29 @@
 from gentianstair.util import serving
 from test.util import test_tls
 
-FIRST = '/first'
+FIRST_PATH = '/first'
 GRACE_S = 10.0
-# Turns of the event loop that an answer takes, to show one that is cut.
-ANSWER_TURNS = 5
-# Loopback may deliver to another socket a little after the sending.
-ARRIVAL_S = 0.005
+# Turns of the event loop that a response takes, so that a close can interrupt
+# it.
+RESPONSE_TURNS = 5
+# Longest delay of delivery over loopback TCP.
+DELIVERY_S = 0.005
 RECEIVE_BYTES = 65536
-WHOLE = re.compile(rb'<(/[^<>]*)>')
-MOMENTS = ('stop', 'idle time')
-# Which tasks a turn of the event loop runs first: those woken first (False)
-# or last, by turns.
-ORDERS = ((False,), (True,), (False, True), (True, False))
+RESPONSE_PATTERN = re.compile(rb'<(/[^<>]*)>')
+CLOSE_CAUSES = ('stop', 'idle time')
+# Whether a turn of the event loop runs the tasks that were woken last first;
+# the values apply to successive turns in a cycle.
+TASK_ORDERS = ((False,), (True,), (False, True), (True, False))
 
 
-class App:
-    """Note each request that is handed over and answer it in two parts.
+class RecordingApp:
+    """Records each request and responds to it in two parts.
 
-    As the gateway does, it gives up once it is told that its caller has gone.
+    Like the gateway, it stops once its caller has disconnected.
     """
 
     def __init__(self):
-        self.given = []
+        self.received = []
         self.gate = trio.Event()
         self.gate.set()
 
@@ -44,7 +45,7 @@
             while True:
                 message = await receive()
                 await send({'type': message['type'] + '.complete'})
-        self.given.append(scope['path'])
+        self.received.append(scope['path'])
         while (await receive()).get('more_body'):
             pass
         async with trio.open_nursery() as nursery:
@@ -64,12 +65,12 @@
         await send({**head, 'headers': [length]})
         part = {'type': 'http.response.body', 'body': body[:1]}
         await send({**part, 'more_body': True})
-        await pass_turns(ANSWER_TURNS)
+        await pass_turns(RESPONSE_TURNS)
         await send({**part, 'body': body[1:]})
 
 
 class Caller:
-    """One kept connection; it sends without giving up the event loop."""
+    """One keep-alive connection; sending does not yield to the event loop."""
 
     def __init__(self, sock):
         self.data = b''
@@ -92,7 +93,7 @@
         self._send_raw(self._outgoing.read())
 
     def send(self, data):
-        """Send data at once, or nothing where the server has closed."""
+        """Send data without waiting; do nothing if the server has closed."""
         if self._tls is not None:
             self._tls.write(data)
             data = self._outgoing.read()
@@ -103,7 +104,7 @@
             self._sock.sendall(data)
 
     async def read(self):
-        """Read what has come; return whether more may come."""
+        """Read available data; return whether the connection is still open."""
         await trio.lowlevel.wait_readable(self._sock)
         try:
             data = self._sock.recv(RECEIVE_BYTES)
@@ -127,20 +128,20 @@
             pass
 
     async def ask(self, path):
-        """Send a request and read its whole answer."""
+        """Send a request and read its complete response."""
         self.send(request(path))
-        while path not in self.answered():
+        while path not in self.answered_paths():
             assert await self.read()
 
-    def answered(self):
-        return [path.decode() for path in WHOLE.findall(self.data)]
+    def answered_paths(self):
+        return [path.decode() for path in RESPONSE_PATTERN.findall(self.data)]
 
     def close(self):
         self._sock.close()
 
 
 class Transport(typing.NamedTuple):
-    """How callers reach the server."""
+    """The socket family and TLS contexts between callers and server."""
 
     family: int
     server: ssl.SSLContext | None = None
@@ -150,7 +151,7 @@
         if self.family != socket.AF_UNIX:
             return serving.listen('127.0.0.1:0')
         sock = socket.socket(socket.AF_UNIX)
-        # The kernel picks a free name.
+        # An empty name makes the kernel choose a free one.
         sock.bind('')
         sock.listen()
         return sock
@@ -159,7 +160,7 @@
         sock = socket.socket(self.family)
         sock.connect(address)
         if self.family != socket.AF_UNIX:
-            # A second part would wait until the first is acknowledged.
+            # Otherwise a second write waits for the acknowledgement.
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, True)
         sock.setblocking(False)
         caller = Caller(sock)
@@ -167,14 +168,14 @@
             await caller.shake_hands(self.client)
         return caller
 
-    def wait_arrival(self):
-        """Hold the event loop until what was sent has come."""
+    def wait_delivered(self):
+        """Block the event loop until the data sent has been delivered."""
         if self.family != socket.AF_UNIX:
-            time.sleep(ARRIVAL_S)
+            time.sleep(DELIVERY_S)
 
 
 def make_transport(name, folder):
-    """Return a way to the server: unix, tcp, or tls on a unix socket."""
+    """Return a transport: unix, tcp, or tls on a unix socket."""
     if name == 'unix':
         return Transport(socket.AF_UNIX)
     if name == 'tcp':
@@ -206,8 +207,8 @@
     async def connect(self):
         return await self._transport.connect(self._address)
 
-    async def connect_kept(self, path=FIRST):
-        """Return a caller that has had one answer, its connection idle."""
+    async def connect_idle(self, path=FIRST_PATH):
+        """Return a caller whose connection is idle after one response."""
         caller = await self.connect()
         await caller.ask(path)
         await trio.testing.wait_all_tasks_blocked()
@@ -216,8 +217,8 @@
 
 @contextlib.asynccontextmanager
 async def running(transport, app=None, grace_s=GRACE_S):
-    """Yield a server; it is cancelled at the end."""
-    server = Server(app or App(), transport)
+    """Run a server and yield it; cancel it at the end."""
+    server = Server(app or RecordingApp(), transport)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(server.run, grace_s)
         yield server
@@ -234,24 +235,24 @@
         await trio.lowlevel.checkpoint()
 
 
-def set_order(monkeypatch, order):
-    """From now let turns run their tasks in these orders, over and over."""
+def set_task_order(monkeypatch, order):
+    """Run the tasks of each turn in the given orders, in a cycle."""
     draws = itertools.cycle(1.0 if last_first else 0.0 for last_first in order)
     loop = trio._core._run
     monkeypatch.setattr(loop, '_ALLOW_DETERMINISTIC_SCHEDULING', False)
     monkeypatch.setattr(loop._r, 'random', lambda: next(draws))
 
 
-def begin(server, moment, clock):
-    """Let the moment come at which idle connections are closed."""
-    if moment == 'stop':
+def trigger_close(server, cause, clock):
+    """Trigger the close of idle connections."""
+    if cause == 'stop':
         server.stop.set()
     else:
         clock.jump(serving.KEEP_ALIVE_S)
 
 
-async def end(server, callers):
-    """Stop the server; read what it still sends to the callers."""
+async def stop_and_read(server, callers):
+    """Stop the server and read the remaining data of the callers."""
     server.stop.set()
     for caller in callers:
         await caller.read_to_end()
--- a/test/util/test_audit.py
+++ b/test/util/test_audit.py
@@ -1,4 +1,4 @@
-"""Test how the trail's open entries are settled."""
+"""Test the audit trail and the outcomes inferred for its entries."""
 
 import datetime
 
@@ -24,14 +24,13 @@
     ],
 )
 @pytest.mark.parametrize('overwritten', [False, True])
-async def test_an_order_is_done_only_if_its_record_says_so(
+async def test_outcome_of_an_order_is_inferred_from_its_state(
     kind, state, outcome, overwritten
 ):
-    """The trail says that an engine was drained, and it was not.
+    """Guards against reporting orders as done that were never sent.
 
-    The holder died between writing the order's record and sending it. The
-    record carries the entry's name all the same, so its state must tell,
-    also when the next order has overwritten it.
+    The record has the entry's name before the order is sent, and may have
+    been overwritten by the next order.
     """
     client = memory_store.MemoryStore()
     entry = audit.make_entry('vm-1', 'order drain', f'{kind}/e', None, {})
@@ -40,21 +39,21 @@
     version = await client.put(kind, 'e', value, 0, purpose='test')
     if overwritten:
         later = audit.make_entry('vm-2', 'x', f'{kind}/e', value, {})
-        mark = await audit.record(client, later)
-        next_ = {'state': 'done', 'change': mark}
+        later_name = await audit.record(client, later)
+        next_ = {'state': 'done', 'change': later_name}
         await client.put(kind, 'e', next_, version, purpose='test')
     found = await audit.read(client, SINCE)
     assert found[0].outcome == outcome
 
 
 @pytest.mark.parametrize('hours', [0.5, 1, 5, 39, 41, 300, 30000])
-async def test_all_entries_since_then_are_read_in_order(hours):
+async def test_read_returns_all_entries_in_order_with_few_calls(hours):
     client = memory_store.MemoryStore()
     now = datetime.datetime.now(datetime.UTC)
-    second = datetime.timedelta(seconds=2)
+    margin = datetime.timedelta(seconds=2)
     since = now - datetime.timedelta(hours=hours)
-    times = [since - second, since + second, since + (now - since) / 2]
-    # An author's clock may be ahead.
+    times = [since - margin, since + margin, since + (now - since) / 2]
+    # The author's clock may be ahead.
     times += [now, now + datetime.timedelta(minutes=50)]
     names = []
     for at in times:
@@ -64,5 +63,5 @@
     client.calls.clear()
     found = await audit.read(client, since)
     assert [record.name for record in found] == names[1:]
-    settled = len(found)
-    assert client.calls['audit'] - settled <= 2 * (audit.MAX_LIST_CALLS + 1)
+    inferred = len(found)
+    assert client.calls['audit'] - inferred <= 2 * (audit.MAX_LIST_CALLS + 1)
--- a/test/util/test_connection_faults.py
+++ b/test/util/test_connection_faults.py
@@ -1,4 +1,4 @@
-"""Test that what goes wrong in one connection stays in it."""
+"""Test that an error in one connection affects no other one."""
 
 import contextlib
 import functools
@@ -11,14 +11,14 @@
 from gentianstair.generated import events
 from gentianstair.util import serving
 
-PROMPT_S = 10.0
+TIMEOUT_S = 10.0
 REQUEST = b'GET / HTTP/1.1\r\nhost: x\r\n\r\n'
 UPGRADE = b'GET / HTTP/1.1\r\nhost: x\r\nconnection: upgrade\r\nupgrade: '
 WEBSOCKET = b'websocket\r\nsec-websocket-version: 13\r\n'
 HTTP2 = b'PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0'
-# Header blocks in the static table: GET or CONNECT, https, path, host x.
+# HPACK header blocks: method, and in part scheme, path and host.
 CONNECT = b'\x02\x07CONNECT\x41\x01x'
-ODD_PATH = b'\x82\x86\x04\x01\xff\x41\x01x'
+NON_ASCII_PATH = b'\x82\x86\x04\x01\xff\x41\x01x'
 GET = b'\x82\x86\x84\x41\x01x'
 
 
@@ -27,26 +27,26 @@
     return head + stream.to_bytes(4) + payload
 
 
-ODD = {
-    'h2c settings that are none': UPGRADE
+UNEXPECTED_INPUT = {
+    'h2c with invalid settings': UPGRADE
     + b'h2c\r\nhttp2-settings: AAAA\r\n\r\n',
-    'a websocket protocol beyond ASCII': UPGRADE
+    'websocket protocol not in ASCII': UPGRADE
     + WEBSOCKET
     + b'sec-websocket-key: a\r\nsec-websocket-protocol: \xff\r\n\r\n',
-    'h2 with no path': HTTP2 + frame(1, 5, 1, CONNECT),
-    'h2 with a path beyond ASCII': HTTP2 + frame(1, 5, 1, ODD_PATH),
+    'h2 without a path': HTTP2 + frame(1, 5, 1, CONNECT),
+    'h2 with a path not in ASCII': HTTP2 + frame(1, 5, 1, NON_ASCII_PATH),
     'h2 with too many priorities': HTTP2
     + b''.join(
         frame(2, 0, 2 * number + 1, b'\0\0\0\0\5') for number in range(1200)
     ),
-    'h2 with data after its answer': HTTP2
+    'h2 with data after its response': HTTP2
     + frame(1, 4, 1, GET)
     + frame(0, 0, 1, b'x') * 30,
 }
 
 
-async def answer_slowly(exchange, asked, release):
-    asked.set()
+async def respond_slowly(exchange, received, release):
+    received.set()
     if exchange.header('slow'):
         await release.wait()
     await exchange.respond(200, 'text/plain', b'done')
@@ -63,42 +63,46 @@
     loguru.logger.remove(handle)
 
 
-@pytest.mark.parametrize('odd', ODD.values(), ids=ODD)
-async def test_odd_bytes_end_no_other_connection(odd, faults):
-    # One connection's fault ended the process and cut all other answers.
+@pytest.mark.parametrize(
+    'data', UNEXPECTED_INPUT.values(), ids=UNEXPECTED_INPUT
+)
+async def test_unexpected_input_ends_no_other_connection(data, faults):
+    # Guards against an error that ends the process and all connections.
     sock = serving.listen('127.0.0.1:0')
     port = sock.getsockname()[1]
-    asked, release = trio.Event(), trio.Event()
+    received, release = trio.Event(), trio.Event()
     app = asgi.make_app(
-        functools.partial(answer_slowly, asked=asked, release=release)
+        functools.partial(respond_slowly, received=received, release=release)
     )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(serving.serve, app, sock, trio.sleep_forever, 1.0)
-        with trio.fail_after(PROMPT_S):
-            sound = await trio.open_tcp_stream('127.0.0.1', port)
-            await sound.send_all(REQUEST.replace(b'host', b'slow: 1\r\nhost'))
-            await asked.wait()
+        with trio.fail_after(TIMEOUT_S):
+            other = await trio.open_tcp_stream('127.0.0.1', port)
+            await other.send_all(REQUEST.replace(b'host', b'slow: 1\r\nhost'))
+            await received.wait()
             stream = await trio.open_tcp_stream('127.0.0.1', port)
-            await stream.send_all(odd)
+            await stream.send_all(data)
             while not faults:
                 await trio.sleep(0.01)
             release.set()
-            assert (await sound.receive_some()).startswith(b'HTTP/1.1 200')
+            assert (await other.receive_some()).startswith(b'HTTP/1.1 200')
         nursery.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize('place', ['_close', '_read_data'])
-async def test_a_fault_at_any_place_ends_no_server(place, faults, monkeypatch):
-    # A fault while a connection is closed ended the process, too.
+async def test_error_in_a_connection_does_not_end_the_server(
+    place, faults, monkeypatch
+):
+    # Guards against an error in reading or closing that ends the process.
     async def fail(server):
         raise RuntimeError('a fault')
 
     monkeypatch.setattr(serving._ConnectionServer, place, fail)
     sock = serving.listen('127.0.0.1:0')
-    app = asgi.make_app(answer_slowly)
+    app = asgi.make_app(respond_slowly)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(serving.serve, app, sock, trio.sleep_forever, 1.0)
-        with trio.fail_after(PROMPT_S):
+        with trio.fail_after(TIMEOUT_S):
             for _ in range(2):
                 stream = await trio.open_tcp_stream(*sock.getsockname())
                 with contextlib.suppress(trio.BrokenResourceError):
--- a/test/util/test_connections.py
+++ b/test/util/test_connections.py
@@ -1,4 +1,4 @@
-"""Test that each connection is told to have ended by what did end it."""
+"""Test the reason that is recorded for the end of each connection."""
 
 import contextlib
 import functools
@@ -17,11 +17,11 @@
 from gentianstair.util import connections
 from gentianstair.util import serving
 
-PROMPT_S = 10.0
+TIMEOUT_S = 10.0
 KEEP_ALIVE_S = 0.2
 GRACE_S = 0.3
-STALL_S = 0.3
-# Of 100,000 bytes; more than kernels hold.
+SEND_STALL_S = 0.3
+# Chunks of 100,000 bytes; together more than the kernel buffers.
 FLOOD_PARTS = 300
 GET = b'GET %s HTTP/1.1\r\nhost: x\r\n\r\n'
 POST = b'POST %s HTTP/1.1\r\nhost: x\r\n%s\r\n\r\n'
@@ -29,14 +29,14 @@
 
 
 class Server:
-    """A server under test, and what it has told."""
+    """A server under test, with its logged cuts and counted ends."""
 
     def __init__(self, port):
         self.port = port
         self.stop = trio.Event()
         self.release = trio.Event()
         self.scope = trio.CancelScope()
-        self.lines = []
+        self.cut_lines = []
         self._before = self._counts()
 
     @staticmethod
@@ -52,7 +52,7 @@
         }
 
     def counted(self):
-        """Return how many connections ended by what since the start."""
+        """Count connections that ended since the start, by reason."""
         found = {
             (end, under_way == 'yes'): count - self._before[end, under_way]
             for (end, under_way), count in self._counts().items()
@@ -60,7 +60,7 @@
         return {key: count for key, count in found.items() if count}
 
     async def serve_one(self, scope, receive, send):
-        """Answer as the path of a request says."""
+        """Respond as the path of a request says."""
         if scope['type'] == 'lifespan':
             while True:
                 message = await receive()
@@ -70,7 +70,7 @@
             raise RuntimeError('planted')
         if path == '/held':
             connections.of_scope(scope).request_id = 'r1'
-            await self._gone(receive)
+            await self._wait_disconnected(receive)
         if path == '/slow':
             await self.release.wait()
         head = {'type': 'http.response.start', 'status': 200, 'headers': []}
@@ -85,43 +85,43 @@
         await send(body)
 
     @staticmethod
-    async def _gone(receive):
+    async def _wait_disconnected(receive):
         while (await receive())['type'] != 'http.disconnect':
             pass
-        # As an application does that gives its request up.
+        # As an application does when it gives up a request.
         raise errors.GentianstairError('gone')
 
     async def open(self, data=b''):
-        """Return a connection that has sent data."""
+        """Open a connection and send data."""
         stream = await trio.open_tcp_stream('127.0.0.1', self.port)
         await stream.send_all(data)
         return stream
 
-    async def ended(self, count=1):
-        """Return when so many connections have been counted."""
-        with trio.fail_after(PROMPT_S):
+    async def wait_ended(self, count=1):
+        """Wait until so many connections have ended."""
+        with trio.fail_after(TIMEOUT_S):
             while sum(self.counted().values()) < count:
                 await trio.sleep(0.01)
 
 
 async def drain(stream):
     with (
-        trio.fail_after(PROMPT_S),
+        trio.fail_after(TIMEOUT_S),
         contextlib.suppress(trio.BrokenResourceError),
     ):
         while await stream.receive_some():
             pass
 
 
-async def answered(stream):
+async def read_response(stream):
     data = b''
-    with trio.fail_after(PROMPT_S):
+    with trio.fail_after(TIMEOUT_S):
         while b'done' not in data:
             data += await stream.receive_some()
 
 
-async def arrived(stream):
-    """Wait until the server must have read what was sent."""
+async def wait_until_read(stream):
+    """Wait long enough for the server to read the data sent."""
     await trio.sleep(0.1)
 
 
@@ -130,12 +130,12 @@
     sock = serving.listen('127.0.0.1:0')
     server = Server(sock.getsockname()[1])
 
-    def keep(message):
+    def collect(message):
         extra = message.record['extra']
         if extra.get('event') == events.CONNECTION_CUT:
-            server.lines.append(extra)
+            server.cut_lines.append(extra)
 
-    sink = loguru.logger.add(keep, level='INFO')
+    sink = loguru.logger.add(collect, level='INFO')
     try:
         async with trio.open_nursery() as nursery:
 
@@ -147,7 +147,7 @@
                         server.stop.wait,
                         GRACE_S,
                         context,
-                        send_stall_s=STALL_S,
+                        send_stall_s=SEND_STALL_S,
                     )
 
             nursery.start_soon(run)
@@ -162,52 +162,52 @@
     await drain(stream)
 
 
-async def never_ask(server):
+async def send_nothing(server):
     await drain(await server.open())
 
 
-async def be_idle_at_a_stop(server):
+async def idle_at_stop(server):
     stream = await server.open(GET % b'/')
-    await answered(stream)
+    await read_response(stream)
     server.stop.set()
     await drain(stream)
 
 
-async def be_answered_after_a_stop(server):
+async def complete_after_stop(server):
     stream = await server.open(GET % b'/slow')
-    await arrived(stream)
+    await wait_until_read(stream)
     server.stop.set()
     await trio.sleep(GRACE_S / 3)
     server.release.set()
-    await answered(stream)
+    await read_response(stream)
     await drain(stream)
 
 
-async def outlast_the_grace(server):
+async def outlast_grace_period(server):
     stream = await server.open(GET % b'/slow')
-    await arrived(stream)
+    await wait_until_read(stream)
     server.stop.set()
     await drain(stream)
 
 
-async def be_under_way_when_all_ends(server):
+async def in_flight_at_process_end(server):
     stream = await server.open(GET % b'/slow')
-    await arrived(stream)
+    await wait_until_read(stream)
     server.scope.cancel()
     await drain(stream)
 
 
-async def be_idle_when_all_ends(server):
+async def idle_at_process_end(server):
     stream = await server.open(GET % b'/')
-    await answered(stream)
+    await read_response(stream)
     server.scope.cancel()
     await drain(stream)
 
 
-async def stop_sending(server, path=b'/'):
+async def half_close(server, path=b'/'):
     stream = await server.open(GET % path)
     if path == b'/':
-        await answered(stream)
+        await read_response(stream)
     await stream.send_eof()
     await drain(stream)
 
@@ -215,22 +215,22 @@
 async def reset(server, path=b'/'):
     stream = await server.open(GET % path)
     if path == b'/':
-        await answered(stream)
+        await read_response(stream)
     else:
-        await arrived(stream)
-    off = struct.pack('ii', 1, 0)
-    stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, off)
+        await wait_until_read(stream)
+    linger_0_s = struct.pack('ii', 1, 0)
+    stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger_0_s)
     await stream.aclose()
 
 
 async def read_nothing(server):
     stream = await server.open(GET % b'/flood')
-    await server.ended()
+    await server.wait_ended()
     await stream.aclose()
 
 
-async def speak_http2(server, path=None, then=None):
-    """Ask in HTTP/2, do something with the request, and say goodbye."""
+async def use_http2(server, path=None, then=None):
+    """Send an HTTP/2 request, act on its stream, then close."""
     client = h2.connection.H2Connection()
     client.initiate_connection()
     if path is not None:
@@ -238,11 +238,11 @@
         head[':scheme'] = 'http'
         client.send_headers(1, head.items(), end_stream=True)
     stream = await server.open(client.data_to_send())
-    await arrived(stream)
+    await wait_until_read(stream)
     if then is not None:
         then(client, 1)
         await stream.send_all(client.data_to_send())
-        await arrived(stream)
+        await wait_until_read(stream)
     client.close_connection()
     await stream.send_all(client.data_to_send())
     await drain(stream)
@@ -254,19 +254,19 @@
 
 CASES = {
     'keep-alive': (keep_idle, EndReason.KEEP_ALIVE_EXPIRED, False),
-    'never-asked': (never_ask, EndReason.KEEP_ALIVE_EXPIRED, False),
-    'stop-idle': (be_idle_at_a_stop, EndReason.STOP, False),
-    'stop-answered': (be_answered_after_a_stop, EndReason.STOP, False),
-    'grace': (outlast_the_grace, EndReason.GRACE_EXPIRED, True),
+    'no-request': (send_nothing, EndReason.KEEP_ALIVE_EXPIRED, False),
+    'stop-idle': (idle_at_stop, EndReason.STOP, False),
+    'stop-answered': (complete_after_stop, EndReason.STOP, False),
+    'grace-expired': (outlast_grace_period, EndReason.GRACE_EXPIRED, True),
     'process-busy': (
-        be_under_way_when_all_ends,
+        in_flight_at_process_end,
         EndReason.PROCESS_ENDED,
         True,
     ),
-    'process-idle': (be_idle_when_all_ends, EndReason.PROCESS_ENDED, False),
-    'half-close-idle': (stop_sending, EndReason.CALLER_CLOSED, False),
+    'process-idle': (idle_at_process_end, EndReason.PROCESS_ENDED, False),
+    'half-close-idle': (half_close, EndReason.CALLER_CLOSED, False),
     'half-close-busy': (
-        functools.partial(stop_sending, path=b'/held'),
+        functools.partial(half_close, path=b'/held'),
         EndReason.CALLER_CLOSED,
         True,
     ),
@@ -276,9 +276,13 @@
         EndReason.CALLER_RESET,
         True,
     ),
-    'stall': (read_nothing, EndReason.SEND_STALL, True),
-    'no-http': (b'\x16\x03\x01 what\r\n\r\n', EndReason.INVALID_HTTP, False),
-    'no-http-in-body': (
+    'send-stall': (read_nothing, EndReason.SEND_STALL, True),
+    'invalid-http': (
+        b'\x16\x03\x01 what\r\n\r\n',
+        EndReason.INVALID_HTTP,
+        False,
+    ),
+    'invalid-http-in-body': (
         POST % (b'/held', b'transfer-encoding: chunked') + b'zz\r\nxx\r\n',
         EndReason.INVALID_HTTP,
         True,
@@ -295,23 +299,23 @@
         EndReason.BODY_UNREAD,
         False,
     ),
-    'answer-cut': (GET % b'/cut', EndReason.RESPONSE_ABORTED, True),
+    'response-aborted': (GET % b'/cut', EndReason.RESPONSE_ABORTED, True),
     'fault': (GET % b'/fault', EndReason.FAULT, True),
     'fault-midway': (GET % b'/fault-midway', EndReason.FAULT, True),
-    'http-2-unasked': (speak_http2, EndReason.HTTP2_CLOSED, False),
+    'http-2-unasked': (use_http2, EndReason.HTTP2_CLOSED, False),
     'http-2-answered': (
-        functools.partial(speak_http2, path='/'),
+        functools.partial(use_http2, path='/'),
         EndReason.HTTP2_CLOSED,
         False,
     ),
     'http-2-busy': (
-        functools.partial(speak_http2, path='/held'),
+        functools.partial(use_http2, path='/held'),
         EndReason.HTTP2_CLOSED,
         True,
     ),
     'http-2-reset': (
         functools.partial(
-            speak_http2,
+            use_http2,
             path='/held',
             then=h2.connection.H2Connection.reset_stream,
         ),
@@ -319,7 +323,7 @@
         False,
     ),
     'http-2-fault': (
-        functools.partial(speak_http2, path='/fault-midway'),
+        functools.partial(use_http2, path='/fault-midway'),
         EndReason.HTTP2_CLOSED,
         False,
     ),
@@ -327,43 +331,41 @@
 
 
 @pytest.mark.parametrize(
-    ('drive', 'end', 'under_way'), CASES.values(), ids=CASES
+    ('act', 'end', 'under_way'), CASES.values(), ids=CASES
 )
-async def test_what_ended_a_connection_is_told(
-    drive, end, under_way, monkeypatch
+async def test_end_reason_is_counted_and_logged(
+    act, end, under_way, monkeypatch
 ):
-    # Guards against a close of our own that is taken for the caller's.
+    # Guards against blaming callers for connections that the server closed.
     make_config = serving._make_config
 
     def make_short(*args):
         config = make_config(*args)
-        if drive is CASES['last-request'][0]:
+        if act is CASES['last-request'][0]:
             config.keep_alive_max_requests = 1
-        if drive in (keep_idle, never_ask):
+        if act in (keep_idle, send_nothing):
             config.keep_alive_timeout = KEEP_ALIVE_S
         return config
 
     monkeypatch.setattr(serving, '_make_config', make_short)
     async with running() as server:
-        if isinstance(drive, bytes):
-            await send(server, drive)
+        if isinstance(act, bytes):
+            await send(server, act)
         else:
-            await drive(server)
-        await server.ended()
+            await act(server)
+        await server.wait_ended()
     assert server.counted() == {(end, under_way): 1}
-    told = [(line['end'], line['closed_by']) for line in server.lines]
-    assert told == [(end.value, end.closed_by.value)] * under_way
+    logged = [(line['end'], line['closed_by']) for line in server.cut_lines]
+    assert logged == [(end.value, end.closed_by.value)] * under_way
 
 
 @pytest.mark.parametrize('own', [True, False])
-async def test_a_fault_of_a_connection_is_told_apart_from_the_rest(
-    own, monkeypatch
-):
-    # Guards against a fault that ends others, or shows as a hang-up.
-    handle = serving._ConnectionServer._receive
+async def test_fault_ends_only_its_own_connection(own, monkeypatch):
+    # Guards against a fault that ends others or looks like a disconnect.
+    original_receive = serving._ConnectionServer._receive
 
     async def receive(self):
-        data = await handle(self)
+        data = await original_receive(self)
         if data == b'fault':
             raise RuntimeError('planted')
         return data
@@ -371,40 +373,40 @@
     monkeypatch.setattr(serving._ConnectionServer, '_receive', receive)
     async with running() as server:
         async with await server.open(GET % b'/held') as stream:
-            await arrived(stream)
+            await wait_until_read(stream)
             async with await server.open() as other:
                 await (stream if own else other).send_all(b'fault')
-                await server.ended()
+                await server.wait_ended()
                 assert server.counted() == {(EndReason.FAULT, own): 1}
-        await server.ended(2)
+        await server.wait_ended(2)
     assert server.counted() == {
         (EndReason.FAULT, own): 1,
         (EndReason.CALLER_CLOSED, not own): 1,
     }
 
 
-async def test_a_close_of_our_own_under_a_request_names_it(monkeypatch):
-    # Guards against a request that is lost with nothing to find it by.
+async def test_close_with_a_request_in_flight_logs_the_request(monkeypatch):
+    # Guards against lost requests that cannot be found in the log.
     servers = []
-    made = serving._ConnectionServer.__init__
+    original_init = serving._ConnectionServer.__init__
 
     def make(self, *args):
-        made(self, *args)
+        original_init(self, *args)
         servers.append(self)
 
     monkeypatch.setattr(serving._ConnectionServer, '__init__', make)
     async with running() as server:
         stream = await server.open(GET % b'/')
-        await answered(stream)
+        await read_response(stream)
         await trio.sleep(0.2)
         await stream.send_all(GET % b'/held')
-        await arrived(stream)
+        await wait_until_read(stream)
         servers[0].connection.note_end(EndReason.KEEP_ALIVE_EXPIRED)
         await servers[0].stream.aclose()
         await drain(stream)
-        await server.ended()
+        await server.wait_ended()
     assert server.counted() == {(EndReason.KEEP_ALIVE_EXPIRED, True): 1}
-    (line,) = server.lines
+    (line,) = server.cut_lines
     assert line['request_id'] == 'r1'
     assert line['closed_by'] == 'this process'
     assert line['requests'] == 2
@@ -413,16 +415,16 @@
 
 
 @pytest.mark.parametrize('data', [b'', GET % b'/'])
-async def test_a_failed_handshake_is_told(data):
-    # Guards against callers without TLS that show as callers' resets.
+async def test_failed_handshake_is_counted_as_such(data):
+    # Guards against counting callers without TLS as resets.
     async with running(ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)) as server:
         async with await server.open(data):
             pass
-        await server.ended()
+        await server.wait_ended()
     assert server.counted() == {(EndReason.HANDSHAKE_FAILED, False): 1}
 
 
-def noted(*ends):
+def first_reason_of(*ends):
     found = connections.Connection()
     for end in ends:
         found.note_end(end)
@@ -430,10 +432,10 @@
 
 
 @pytest.mark.parametrize('first', EndReason)
-async def test_the_first_end_stands(first):
-    assert noted(first, *EndReason) is first
+async def test_first_end_reason_is_kept(first):
+    assert first_reason_of(first, *EndReason) is first
 
 
-async def test_a_scope_without_a_connection_has_one_of_its_own():
-    # Guards against a failure under another server, which sets no state.
+async def test_scope_without_a_connection_gets_a_new_one():
+    # Guards against a failure under other servers, which set no state.
     assert connections.of_scope({'type': 'http'}).end_reason is None
--- a/test/util/test_grace_timeout.py
+++ b/test/util/test_grace_timeout.py
@@ -1,4 +1,4 @@
-"""Test that serving ends with its grace, whatever callers do."""
+"""Test that the grace period bounds the time that serving takes."""
 
 import pytest
 import trio
@@ -7,11 +7,11 @@
 from gentianstair.util import serving
 
 GRACE_S = 1.0
-LATE_S = 1.0
+TOLERANCE_S = 1.0
 REQUEST = b'GET / HTTP/1.1\r\nhost: x\r\n\r\n'
 
 
-async def answer_much(exchange):
+async def respond_at_length(exchange):
     await exchange.read_body(1000, 5.0)
     await exchange.start(200, [])
     for _ in range(100):
@@ -19,14 +19,14 @@
     await exchange.end()
 
 
-async def test_a_caller_that_reads_nothing_does_not_outlast_the_grace():
-    # Its last write was waited for, as the process was to be gone.
+async def test_stalled_caller_does_not_outlast_the_grace_period():
+    # Guards against waiting for a write to a caller that reads nothing.
     stop, ended = trio.Event(), trio.Event()
     sock = serving.listen('127.0.0.1:0')
 
     async def serve():
         await serving.serve(
-            asgi.make_app(answer_much), sock, stop.wait, GRACE_S
+            asgi.make_app(respond_at_length), sock, stop.wait, GRACE_S
         )
         ended.set()
 
@@ -36,20 +36,22 @@
         await stream.send_all(REQUEST)
         await trio.sleep(0.5)
         stop.set()
-        with trio.fail_after(GRACE_S + LATE_S):
+        with trio.fail_after(GRACE_S + TOLERANCE_S):
             await ended.wait()
 
 
 @pytest.mark.parametrize('place', ['_close', '_read_data'])
-async def test_a_fault_at_the_end_of_the_grace_stays_in_it(place, monkeypatch):
-    # It came in a group with the cancelling, and serving raised it.
+async def test_fault_at_the_end_of_the_grace_does_not_end_serving(
+    place, monkeypatch
+):
+    # Guards against raising an error that is grouped with a cancellation.
     entered = trio.Event()
-    library = getattr(serving._ConnectionServer, place)
+    original = getattr(serving._ConnectionServer, place)
 
     async def fail(server):
         entered.set()
         try:
-            await library(server)
+            await original(server)
         finally:
             raise RuntimeError('a fault')
 
--- a/test/util/test_http1.py
+++ b/test/util/test_http1.py
@@ -1,4 +1,4 @@
-"""Test what follows the last request of a connection."""
+"""Test that data after the last request is ignored."""
 
 import functools
 
@@ -8,21 +8,21 @@
 
 from gentianstair.util import serving
 
-LAST = b'GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n'
-MORE = {
+LAST_REQUEST = b'GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n'
+TRAILING_DATA = {
     'nothing': b'',
-    'a line end': b'\r\n',
-    'no HTTP': b'\x16\x03\x01 what\r\n\r\n',
-    'a request': b'GET /next HTTP/1.1\r\nhost: x\r\n\r\n',
-    'as much as a connection may bring': b'x' * serving.MAX_HEADER_BYTES * 9,
+    'line feed': b'\r\n',
+    'invalid HTTP': b'\x16\x03\x01 what\r\n\r\n',
+    'request': b'GET /next HTTP/1.1\r\nhost: x\r\n\r\n',
+    'more than the parser buffers': b'x' * serving.MAX_HEADER_BYTES * 9,
 }
 ROUNDS = 20
-# Without any task's doing, after which all that was sent has been read.
-READ_S = 0.01
-PROMPT_S = 10.0
+# Time without a runnable task after which all data sent has been read.
+QUIET_S = 0.01
+TIMEOUT_S = 10.0
 
 
-async def answer(scope, receive, send, release):
+async def respond(scope, receive, send, release):
     if scope['type'] != 'http':
         while True:
             message = await receive()
@@ -41,23 +41,32 @@
     return data
 
 
-@pytest.mark.parametrize('apart', [False, True], ids=['with it', 'later'])
-@pytest.mark.parametrize('more', MORE.values(), ids=MORE)
-async def test_bytes_behind_the_last_request_cut_no_answer(more, apart):
-    # The answer under way was replaced by a 400 or lost its body.
+@pytest.mark.parametrize(
+    'is_separate', [False, True], ids=['same packet', 'separate packet']
+)
+@pytest.mark.parametrize('trailing', TRAILING_DATA.values(), ids=TRAILING_DATA)
+async def test_data_after_the_last_request_keeps_the_response(
+    trailing, is_separate
+):
+    # Guards against replacing the response in flight by a 400, or losing its
+    # body.
     sock = serving.listen('127.0.0.1:0')
-    begin, release = trio.open_memory_channel(1)
-    app = functools.partial(answer, release=release)
+    release_response, release = trio.open_memory_channel(1)
+    app = functools.partial(respond, release=release)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(serving.serve, app, sock, trio.sleep_forever, 1.0)
-        with trio.fail_after(PROMPT_S):
+        with trio.fail_after(TIMEOUT_S):
             for _ in range(ROUNDS):
                 stream = await trio.open_tcp_stream(*sock.getsockname())
-                parts = [LAST, more] if apart else [LAST + more]
+                parts = (
+                    [LAST_REQUEST, trailing]
+                    if is_separate
+                    else [LAST_REQUEST + trailing]
+                )
                 for part in parts:
                     await stream.send_all(part)
-                await trio.testing.wait_all_tasks_blocked(READ_S)
-                await begin.send(None)
+                await trio.testing.wait_all_tasks_blocked(QUIET_S)
+                await release_response.send(None)
                 data = await read_all(stream)
                 assert data.startswith(b'HTTP/1.1 200')
                 assert data.endswith(b'\r\n\r\ndone')
--- a/test/util/test_http2_stop.py
+++ b/test/util/test_http2_stop.py
@@ -1,4 +1,4 @@
-"""Test that a stop ends HTTP/2 connections that have no request."""
+"""Test that a stop closes HTTP/2 connections without a request."""
 
 import h2.config
 import h2.connection
@@ -10,7 +10,7 @@
 from gentianstair.util import serving
 
 GRACE_S = 8.0
-SOON_S = 3.0
+PROMPT_S = 3.0
 HEADERS = [
     (':method', 'GET'),
     (':path', '/'),
@@ -19,7 +19,7 @@
 ]
 
 
-async def answer(exchange):
+async def respond(exchange):
     await exchange.read_body(1000, 5.0)
     if exchange.header('slow'):
         await exchange.wait_disconnected()
@@ -27,13 +27,13 @@
     await exchange.respond(200, 'text/plain', b'x')
 
 
-@pytest.mark.parametrize('play', ['no stream', 'answered', 'reset'])
-async def test_a_stop_does_not_wait_for_it(play):
+@pytest.mark.parametrize('case', ['no stream', 'answered', 'reset'])
+async def test_stop_does_not_wait_for_idle_http2_connections(case):
     stop, ended = trio.Event(), trio.Event()
     sock = serving.listen('127.0.0.1:0')
 
     async def serve():
-        await serving.serve(asgi.make_app(answer), sock, stop.wait, GRACE_S)
+        await serving.serve(asgi.make_app(respond), sock, stop.wait, GRACE_S)
         ended.set()
 
     async with trio.open_nursery() as nursery:
@@ -43,16 +43,16 @@
             h2.config.H2Configuration(client_side=True)
         )
         conn.initiate_connection()
-        if play != 'no stream':
-            more = [('slow', '1')] if play == 'reset' else []
+        if case != 'no stream':
+            more = [('slow', '1')] if case == 'reset' else []
             conn.send_headers(1, HEADERS + more, end_stream=True)
         await stream.send_all(conn.data_to_send())
         await trio.sleep(0.2)
-        if play == 'reset':
+        if case == 'reset':
             conn.reset_stream(1)
             await stream.send_all(conn.data_to_send())
         await trio.sleep(1.2)
         stop.set()
-        with trio.fail_after(SOON_S):
+        with trio.fail_after(PROMPT_S):
             await ended.wait()
         nursery.cancel_scope.cancel()
--- a/test/util/test_idle_close_load.py
+++ b/test/util/test_idle_close_load.py
@@ -1,4 +1,4 @@
-"""Hammer a server that closes idle connections with late requests."""
+"""Test closing idle connections under a load of late requests."""
 
 import random
 import time
@@ -12,19 +12,20 @@
 
 ROUNDS = 4
 CALLERS = 60
-EARLIEST_S = -0.02
-LATEST_S = 0.06
-# Where each turn is held up, a stop takes longer to close connections.
-LATEST_HELD_S = 0.26
-HOLD_S = 0.025
+# Range of the send times, in seconds after the close.
+EARLIEST_SEND_S = -0.02
+LATEST_SEND_S = 0.06
+# A stop takes longer to close connections while the event loop is blocked.
+LATEST_BLOCKED_SEND_S = 0.26
+BLOCK_S = 0.025
 KEEP_ALIVE_S = 0.15
-WAIT_S = 10.0
+TIMEOUT_S = 10.0
 
 
-def _send_late(callers, moment_s, latest_s, chance):
-    """Send from a thread, as other processes do while the loop is held."""
+def _send_late(callers, close_s, latest_s, rng):
+    """Send from a thread, so that data arrives while the loop is blocked."""
     due_s = {
-        name: moment_s + chance.uniform(EARLIEST_S, latest_s)
+        name: close_s + rng.uniform(EARLIEST_SEND_S, latest_s)
         for name in callers
     }
     for name in sorted(due_s, key=due_s.get):
@@ -32,55 +33,55 @@
         callers[name].send(keep_alive_harness.request(f'/second/{name}'))
 
 
-async def _hold(hold_s):
+async def _block_loop(block_s):
     while True:
-        time.sleep(hold_s)
+        time.sleep(block_s)
         await trio.lowlevel.checkpoint()
 
 
-async def _play(server, chance, moment, hold_s, latest_s):
+async def _run_round(server, rng, cause, block_s, latest_s):
     callers = {n: await server.connect() for n in range(CALLERS)}
     for name, caller in callers.items():
         caller.send(keep_alive_harness.request(f'/first/{name}'))
     for caller in callers.values():
-        while not caller.answered():
+        while not caller.answered_paths():
             assert await caller.read()
-    wait_s = KEEP_ALIVE_S if moment == 'idle time' else -2 * EARLIEST_S
-    moment_s = time.monotonic() + wait_s
+    wait_s = KEEP_ALIVE_S if cause == 'idle time' else -2 * EARLIEST_SEND_S
+    close_s = time.monotonic() + wait_s
     async with trio.open_nursery() as nursery:
-        if hold_s:
-            nursery.start_soon(_hold, hold_s)
+        if block_s:
+            nursery.start_soon(_block_loop, block_s)
         async with trio.open_nursery() as sending:
-            late = (callers, moment_s, latest_s, chance)
-            sending.start_soon(trio.to_thread.run_sync, _send_late, *late)
-            if moment == 'stop':
-                await trio.sleep(moment_s - time.monotonic())
+            send_args = (callers, close_s, latest_s, rng)
+            sending.start_soon(trio.to_thread.run_sync, _send_late, *send_args)
+            if cause == 'stop':
+                await trio.sleep(close_s - time.monotonic())
                 server.stop.set()
         nursery.cancel_scope.cancel()
-    with trio.fail_after(WAIT_S):
-        await keep_alive_harness.end(server, callers.values())
-    answered = {p for c in callers.values() for p in c.answered()}
-    return set(server.app.given) - answered
+    with trio.fail_after(TIMEOUT_S):
+        await keep_alive_harness.stop_and_read(server, callers.values())
+    answered = {p for c in callers.values() for p in c.answered_paths()}
+    return set(server.app.received) - answered
 
 
 @pytest.mark.parametrize(
-    ('moment', 'hold_s', 'latest_s'),
+    ('cause', 'block_s', 'latest_s'),
     [
-        ('stop', HOLD_S, LATEST_HELD_S),
-        ('idle time', HOLD_S, LATEST_S),
-        ('stop', 0.0, LATEST_S),
-        ('idle time', 0.0, LATEST_S),
+        ('stop', BLOCK_S, LATEST_BLOCKED_SEND_S),
+        ('idle time', BLOCK_S, LATEST_SEND_S),
+        ('stop', 0.0, LATEST_SEND_S),
+        ('idle time', 0.0, LATEST_SEND_S),
     ],
 )
 async def test_late_requests_are_not_cut_off(
-    moment, hold_s, latest_s, monkeypatch, tmp_path
+    cause, block_s, latest_s, monkeypatch, tmp_path
 ):
-    if moment == 'idle time':
+    if cause == 'idle time':
         monkeypatch.setattr(serving, 'KEEP_ALIVE_S', KEEP_ALIVE_S)
-    chance = random.Random(7)
+    rng = random.Random(7)
     lost = []
     for _ in range(ROUNDS):
         transport = keep_alive_harness.make_transport('tcp', tmp_path)
         async with keep_alive_harness.running(transport) as server:
-            lost += await _play(server, chance, moment, hold_s, latest_s)
+            lost += await _run_round(server, rng, cause, block_s, latest_s)
     assert not lost
--- a/test/util/test_leased_call.py
+++ b/test/util/test_leased_call.py
@@ -1,4 +1,4 @@
-"""Test that a stopped process does not send after its time."""
+"""Test that a suspended process does not send after its lease."""
 
 import os
 import signal
@@ -13,8 +13,8 @@
 from gentianstair import verdict
 from gentianstair.util import leased_call
 
-# Stops itself in the last look at the clock before the send.
-CHILD = """
+# Stops itself in the last lease check before the send.
+CHILD_STOPS_ITSELF = """
 import os, signal, sys, time, trio
 from gentianstair.util import leased_call
 calls = []
@@ -35,10 +35,10 @@
 
 
 def run_stopped(stop_s, left_s):
-    """Stop a sender for stop_s; return its exit code and what it sent."""
+    """Suspend a sender for stop_s; return its exit code and sent bytes."""
     with socket.create_server(('127.0.0.1', 0)) as server:
         url = f'http://127.0.0.1:{server.getsockname()[1]}/orders'
-        args = [sys.executable, '-c', CHILD, url, str(left_s)]
+        args = [sys.executable, '-c', CHILD_STOPS_ITSELF, url, str(left_s)]
         popen = subprocess.Popen(args, stderr=subprocess.DEVNULL)
         connection, _ = server.accept()
         with connection:
@@ -60,18 +60,17 @@
     ('stop_s', 'left_s', 'code'),
     [(0.1, 8.0, 0), (1.5, 1.0, -signal.SIGALRM)],
 )
-def test_process_stopped_before_its_send(stop_s, left_s, code):
-    """A holder is stopped between its last check and its send.
+def test_process_suspended_past_its_lease_does_not_send(stop_s, left_s, code):
+    """Guards against a send after a suspension in which the lease expired.
 
-    When it goes on after its lease has lapsed, it must not send what it
-    still has in hand; one that was stopped for less may.
+    The process is suspended between its last check and its send.
     """
     ended, received = run_stopped(stop_s, left_s)
     assert ended == code
     assert bool(received) == (code == 0)
 
 
-TOO_LATE = """
+CHILD_NEAR_EXPIRY = """
 import sys, trio
 from gentianstair import errors
 from gentianstair.util import leased_call
@@ -89,13 +88,13 @@
 
 
 @pytest.mark.process
-@pytest.mark.parametrize('allowances', [0.5, 1.000001, 2.0])
-def test_a_lease_that_just_ends_does_not_end_the_process(allowances):
-    # The timer was set to a moment that was past, or came at once.
+@pytest.mark.parametrize('margins', [0.5, 1.000001, 2.0])
+def test_lease_about_to_expire_does_not_kill_the_process(margins):
+    # Guards against a watchdog that fires at once.
     with socket.create_server(('127.0.0.1', 0)) as server:
         url = f'http://127.0.0.1:{server.getsockname()[1]}/orders'
         done = subprocess.run(
-            [sys.executable, '-c', TOO_LATE, url, str(allowances)],
+            [sys.executable, '-c', CHILD_NEAR_EXPIRY, url, str(margins)],
             capture_output=True,
             text=True,
             timeout=30,
@@ -104,7 +103,7 @@
     assert (done.returncode, done.stdout) == (0, 'refused\n')
 
 
-async def test_refusals_tell_whether_anything_was_sent():
+async def test_errors_report_whether_the_request_was_sent():
     def lapsed():
         raise errors.LeaseLostError('lapsed')
 
@@ -121,21 +120,20 @@
     assert caught.value.verdict is verdict.Verdict.NOT_RUN
 
 
-async def test_a_peer_that_does_not_accept_is_reported_as_such():
-    """The platform is silent while a report is due.
+async def test_connect_timeout_raises_not_run():
+    """Guards against a clean-up that fails on an already closed socket.
 
-    Connecting ran out of time, which closed the socket; the clean-up then
-    failed on the closed socket, and the whole process ended.
+    A connect that times out closes its socket.
     """
     with socket.create_server(('127.0.0.1', 0), backlog=0) as server:
         address = server.getsockname()
-        waiting = []
+        pending = []
         for _ in range(4):
-            # What is not accepted fills the queue of new connections.
+            # Connections that are not accepted fill the backlog.
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(address)
-            waiting.append(sock)
+            pending.append(sock)
         url = f'http://127.0.0.1:{address[1]}/usage'
         with pytest.raises(errors.UpstreamError) as caught:
             await leased_call.call(
@@ -146,6 +144,6 @@
                 lifetime_s=0.3,
                 timeout_s=0.3,
             )
-        for sock in waiting:
+        for sock in pending:
             sock.close()
     assert caught.value.verdict is verdict.Verdict.NOT_RUN
--- a/test/util/test_line_writer.py
+++ b/test/util/test_line_writer.py
@@ -1,4 +1,4 @@
-"""Test that a reader that stops reading never stops the program."""
+"""Test that a stalled log reader does not block the program."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 
 from gentianstair.util import line_writer
 
-WAIT_S = 5.0
+TIMEOUT_S = 5.0
 
 
 @pytest.fixture
@@ -30,11 +30,10 @@
             return b''.join(parts)
 
 
-def test_a_reader_that_stops(pipe):
-    """The reader stops; later it goes on.
+def test_stalled_reader_does_not_block_or_split_lines(pipe):
+    """Guards against blocking, split lines and uncounted dropped lines.
 
-    The program writes on without waiting, keeps a bounded part, and says
-    how many lines are missing. No line is cut in two.
+    The reader resumes after a while.
     """
     read_fd, write_fd = pipe
     now_s = 0.0
@@ -55,7 +54,7 @@
     assert lines[-2]['lines'] + len(lines) - 2 == 1000
 
 
-def test_the_rate_is_bounded(pipe):
+def test_lines_above_the_rate_limit_are_dropped(pipe):
     read_fd, write_fd = pipe
     now_s = 0.0
     writer = line_writer.LineWriter(write_fd, lambda: now_s)
@@ -65,12 +64,12 @@
         for _ in range(400):
             writer.write('{}\n')
         written += drain(read_fd).count(b'{}')
-    most = line_writer.MAX_BURST_LINES + 10 * line_writer.LINES_PER_S
-    assert 0.9 * most < written <= most + 1
+    max_lines = line_writer.MAX_BURST_LINES + 10 * line_writer.LINES_PER_S
+    assert 0.9 * max_lines < written <= max_lines + 1
 
 
-def test_the_last_line_is_let_through_and_seen_out(pipe):
-    # Guards against a process that ends without a word amid many lines.
+def test_last_line_passes_the_rate_limit_and_is_flushed(pipe):
+    # Guards against losing the line that says why the process exits.
     read_fd, write_fd = pipe
     writer = line_writer.LineWriter(write_fd, time.monotonic)
     for _ in range(5000):
@@ -78,32 +77,32 @@
     found = bytearray()
 
     def read():
-        until_s = time.monotonic() + WAIT_S
+        until_s = time.monotonic() + TIMEOUT_S
         while b'last' not in found and time.monotonic() < until_s:
             time.sleep(0.01)
             found.extend(drain(read_fd))
 
     reader = threading.Thread(target=read)
     reader.start()
-    writer.drain(WAIT_S)
+    writer.drain(TIMEOUT_S)
     writer.allow_one_line()
     writer.write('last\n')
-    writer.drain(WAIT_S)
+    writer.drain(TIMEOUT_S)
     reader.join()
     assert found.endswith(b'}\nlast\n')
 
 
-def test_a_reader_that_is_stuck_is_waited_for_no_longer_than_said(pipe):
-    # Guards against a process that can't end for want of a reader.
+def test_drain_stops_waiting_for_a_stalled_reader(pipe):
+    # Guards against a process that cannot exit.
     writer = line_writer.LineWriter(pipe[1], time.monotonic)
     for _ in range(1000):
         writer.write('x' * 200 + '\n')
     began_s = time.monotonic()
     writer.drain(0.2)
-    assert 0.15 < time.monotonic() - began_s < WAIT_S
+    assert 0.15 < time.monotonic() - began_s < TIMEOUT_S
 
 
-def test_no_reader_at_all():
+def test_write_without_a_reader_raises_nothing():
     read_fd, write_fd = os.pipe()
     os.close(read_fd)
     writer = line_writer.LineWriter(write_fd, lambda: 0.0)
--- a/test/util/test_logs.py
+++ b/test/util/test_logs.py
@@ -1,4 +1,4 @@
-"""Test that logs are JSON lines and never hold a key."""
+"""Test that logs are JSON lines with all keys redacted."""
 
 import io
 import json
@@ -12,8 +12,8 @@
 from gentianstair.util import logs
 
 KEY = 'gst_Zm9vYmFyYmF6cXV4MTIzNDU2Nzg5MA'
-# A key that an application of before our own form may still use.
-FOREIGN = 'sk-legacy.0123456789'
+# A key of a form that this project does not issue.
+FOREIGN_KEY = 'sk-legacy.0123456789'
 
 
 @pytest.fixture
@@ -27,8 +27,8 @@
 
 
 def _raise(secret):
-    held = f'Bearer {secret}'
-    raise errors.DecodeError(f'bad header {held}')
+    header = f'Bearer {secret}'
+    raise errors.DecodeError(f'bad header {header}')
 
 
 def _log_exception(secret):
@@ -45,8 +45,8 @@
         sys.excepthook(type(error), error, error.__traceback__)
 
 
-# Ways in which a key could slip into a line.
-SLIPS = [
+# Log calls that include a key.
+LOG_CALLS = [
     lambda key: loguru.logger.info(f'header Authorization: Bearer {key}'),
     lambda key: loguru.logger.info('sent {}', {'authorization': key}),
     lambda key: loguru.logger.info(f"{[('authorization', key)]}"),
@@ -64,27 +64,23 @@
 
 
 @pytest.mark.promise
-@pytest.mark.parametrize('key', [KEY, FOREIGN])
-@pytest.mark.parametrize('slip', SLIPS)
-def test_a_planted_key_never_shows(lines, slip, key):
-    """A key in a log is read by whoever reads logs.
-
-    A developer logs a header, a body or an exception that holds it. The
-    sink redacts text, fields and tracebacks at every depth.
-    """
-    slip(key)
+@pytest.mark.parametrize('key', [KEY, FOREIGN_KEY])
+@pytest.mark.parametrize('log_call', LOG_CALLS)
+def test_logged_keys_are_redacted(lines, log_call, key):
+    """Guards against keys in messages, fields and tracebacks."""
+    log_call(key)
     written = json.dumps(lines())
     assert key not in written
     assert logs.REDACTED in written
 
 
-def test_our_own_keys_are_known_wherever_they_stand(lines):
+def test_issued_keys_are_redacted_without_a_secret_name(lines):
     loguru.logger.info(f'GET /x?k={KEY}')
     loguru.logger.bind(h=[(1, {'path': f'/{KEY}/x'})]).info('bound')
     assert KEY[4:] not in json.dumps(lines())
 
 
-def test_a_line_carries_the_bound_fields_and_survives_odd_text(lines):
+def test_line_has_the_bound_fields_and_unchanged_text(lines):
     bound = dict.fromkeys(logs.FIELDS, 'x') | {'vm': 'vm-1', 'n': 3}
     loguru.logger.bind(**bound).warning('a\nb\x1b[2J {not a field}')
     (line,) = lines()
--- a/test/util/test_random_stops.py
+++ b/test/util/test_random_stops.py
@@ -1,4 +1,4 @@
-"""Play random connections against a stop, and look that none is cut off."""
+"""Test with random traffic that a stop cuts off no request in flight."""
 
 import random
 import socket
@@ -16,22 +16,22 @@
 
 GRACE_S = 1.5
 CALLERS = 30
-WAIT_S = 6.0
+TIMEOUT_S = 6.0
 
 
-class Site:
-    def __init__(self, chance):
-        self.chance = chance
-        self.given = {}
+class App:
+    def __init__(self, rng):
+        self.rng = rng
+        self.results = {}
         self.grace = grace_period.GracePeriod()
-        self.leaving = trio.Event()
+        self.stopping = trio.Event()
 
     async def serve(self, exchange):
-        exchange.should_close = self.leaving.is_set
+        exchange.should_close = self.stopping.is_set
         await exchange.read_body(10**7, 5.0)
         name = exchange.path
-        self.given[name] = 'given'
-        # From here the replica has it.
+        self.results[name] = 'given'
+        # From here on the request is being processed.
         size, slow_s, chunked = name.split('/')[2].split('-')
         size, slow_s = int(size), float(slow_s)
 
@@ -50,7 +50,7 @@
         end = await request_lifetime.run_until_ended(
             exchange, work, 5.0, self.grace
         )
-        self.given[name] = end.value
+        self.results[name] = end.value
         if end is request_lifetime.EndReason.DISCONNECTED:
             raise exchanges.CallerDisconnectedError('gone')
         if end is not request_lifetime.EndReason.DONE:
@@ -62,17 +62,17 @@
 
 
 class Caller(threading.Thread):
-    """Blocking caller on kept connections, as other processes are."""
+    """A thread that sends requests on keep-alive connections."""
 
     def __init__(self, number, address, seed, until_s):
         super().__init__(daemon=True)
         self.number = number
         self.address = address
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.until_s = until_s
         self.sent = {}
         self.answered = {}
-        self.problem = []
+        self.errors = []
 
     def run(self):
         count = 0
@@ -81,33 +81,33 @@
                 sock = socket.create_connection(self.address, 1.0)
             except OSError:
                 return
-            sock.settimeout(WAIT_S)
+            sock.settimeout(TIMEOUT_S)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             with sock:
-                if self.chance.random() < 0.1:
-                    time.sleep(self.chance.uniform(0, 0.9))
+                if self.rng.random() < 0.1:
+                    time.sleep(self.rng.uniform(0, 0.9))
                 while time.monotonic() < self.until_s:
                     count += 1
                     try:
-                        if not self.ask(sock, count):
+                        if not self.send_request(sock, count):
                             break
                     except OSError as error:
-                        self.problem.append((self.name_of, repr(error)))
+                        self.errors.append((self.last_name, repr(error)))
                         break
-                    time.sleep(self.chance.choice([0, 0, 0.001, 0.05, 0.1]))
+                    time.sleep(self.rng.choice([0, 0, 0.001, 0.05, 0.1]))
 
-    def ask(self, sock, count):
-        chance = self.chance
-        size = chance.choice([0, 1, 10, 5000, 400000])
-        slow = chance.choice([0, 0, 0, 0, 0.002, 0.002, 0.03, 0.03, 0.3, 3.0])
-        chunked = chance.choice([0, 1])
+    def send_request(self, sock, count):
+        rng = self.rng
+        size = rng.choice([0, 1, 10, 5000, 400000])
+        slow = rng.choice([0, 0, 0, 0, 0.002, 0.002, 0.03, 0.03, 0.3, 3.0])
+        chunked = rng.choice([0, 1])
         name = f'/{self.number}.{count}/{size}-{slow}-{chunked}'
-        self.name_of = name
-        body = b'b' * chance.choice([0, 0, 7, 100000])
+        self.last_name = name
+        body = b'b' * rng.choice([0, 0, 7, 100000])
         head = f'POST {name} HTTP/1.1\r\nhost: x\r\n'
-        if chance.random() < 0.1:
+        if rng.random() < 0.1:
             head += 'expect: 100-continue\r\n'
-        if chance.random() < 0.3:
+        if rng.random() < 0.3:
             head += 'transfer-encoding: chunked\r\n\r\n'
             data = head.encode()
             if body:
@@ -115,16 +115,14 @@
             data += b'0\r\n\r\n'
         else:
             data = f'{head}content-length: {len(body)}\r\n\r\n'.encode() + body
-        # With a request that comes in parts its end is what counts.
+        # Send the request in parts, with pauses.
         while data:
-            part = chance.choice(
-                [len(data), len(data), len(data) // 2 + 1, 30]
-            )
+            part = rng.choice([len(data), len(data), len(data) // 2 + 1, 30])
             part = max(part, len(data) // 4)
             sock.sendall(data[:part])
             data = data[part:]
-            if data and chance.random() < 0.5:
-                time.sleep(chance.choice([0, 0.001, 0.02]))
+            if data and rng.random() < 0.5:
+                time.sleep(rng.choice([0, 0.001, 0.02]))
         self.sent[name] = time.monotonic()
         return self.read_answer(sock, name)
 
@@ -162,34 +160,36 @@
         return b'connection: close' not in lower
 
 
-async def hold(chance):
+async def block_loop(rng):
     while True:
-        await trio.sleep(chance.uniform(0, 0.05))
-        time.sleep(chance.choice([0, 0.005, 0.025, 0.1]))
+        await trio.sleep(rng.uniform(0, 0.05))
+        time.sleep(rng.choice([0, 0.005, 0.025, 0.1]))
 
 
-@pytest.mark.parametrize('held', [False, True])
+@pytest.mark.parametrize('is_blocked', [False, True])
 @pytest.mark.parametrize('seed', range(6))
-async def test_what_was_given_gets_an_answer(seed, held, monkeypatch):
-    chance = random.Random(seed)
-    site = Site(chance)
+async def test_stop_completes_every_request_in_flight(
+    seed, is_blocked, monkeypatch
+):
+    rng = random.Random(seed)
+    app = App(rng)
     sock = serving.listen('127.0.0.1:0')
-    keep_alive_s = chance.choice([0.05, 0.1, 75.0])
+    keep_alive_s = rng.choice([0.05, 0.1, 75.0])
     ended_s = None
 
-    async def leave():
+    async def wait_for_stop():
         await trio.sleep(1.5)
-        # Requests may end a little before the server's grace does.
-        site.leaving.set()
-        await trio.sleep(chance.choice([0, 0, 0.3]))
-        site.grace.expire_in(GRACE_S - 0.4)
+        # The grace period of requests ends before that of the server.
+        app.stopping.set()
+        await trio.sleep(rng.choice([0, 0, 0.3]))
+        app.grace.expire_in(GRACE_S - 0.4)
 
     async def serve():
         nonlocal ended_s
         await serving.serve(
-            asgi.make_app(site.serve),
+            asgi.make_app(app.serve),
             sock,
-            leave,
+            wait_for_stop,
             GRACE_S,
             keep_alive_s=keep_alive_s,
         )
@@ -202,8 +202,8 @@
     ]
     async with trio.open_nursery() as nursery:
         nursery.start_soon(serve)
-        if held:
-            nursery.start_soon(hold, chance)
+        if is_blocked:
+            nursery.start_soon(block_loop, rng)
         for caller in callers:
             caller.start()
         with trio.fail_after(9.0):
@@ -215,14 +215,14 @@
     answered = {}
     for caller in callers:
         answered.update(caller.answered)
-    bad = {
-        name: (how, answered.get(name))
-        for name, how in site.given.items()
+    unanswered = {
+        name: (result, answered.get(name))
+        for name, result in app.results.items()
         if answered.get(name, 'none') in ('none', 'cut')
-        and not (how != 'done' and answered.get(name) == 'cut')
+        and not (result != 'done' and answered.get(name) == 'cut')
     }
-    kinds = {}
-    for how in answered.values():
-        kinds[how] = kinds.get(how, 0) + 1
-    print(seed, held, keep_alive_s, len(site.given), kinds)
-    assert not bad
+    status_counts = {}
+    for result in answered.values():
+        status_counts[result] = status_counts.get(result, 0) + 1
+    print(seed, is_blocked, keep_alive_s, len(app.results), status_counts)
+    assert not unanswered
--- a/test/util/test_serving.py
+++ b/test/util/test_serving.py
@@ -1,4 +1,4 @@
-"""Test the server under connections that end in odd ways."""
+"""Test half-closed connections, closes and the keep-alive header."""
 
 import re
 
@@ -9,11 +9,11 @@
 from gentianstair.util import serving
 
 REQUEST = b'GET / HTTP/1.1\r\nhost: x\r\n\r\n'
-PROMPT_S = 10.0
+TIMEOUT_S = 10.0
 
 
-async def answer(scope, receive, send):
-    """Answer every request."""
+async def respond(scope, receive, send):
+    """Respond to every request with the same body."""
     if scope['type'] != 'http':
         while True:
             message = await receive()
@@ -23,20 +23,18 @@
 
 
 @pytest.mark.parametrize('requests', [1, 2])
-async def test_connection_ends_when_its_caller_sends_no_more(requests):
-    # A caller closes its sending side after it has its answers. The end of
-    # the connection came only 75 s later: the server went on to count idle
-    # time for a connection that could bring nothing more.
+async def test_half_closed_connection_is_closed_after_its_responses(requests):
+    # Guards against keeping a half-closed connection until its idle timeout.
     sock = serving.listen('127.0.0.1:0')
     port = sock.getsockname()[1]
     async with trio.open_nursery() as nursery:
         nursery.start_soon(
-            serving.serve, answer, sock, trio.sleep_forever, 1.0
+            serving.serve, respond, sock, trio.sleep_forever, 1.0
         )
         stream = await trio.open_tcp_stream('127.0.0.1', port)
         await stream.send_all(REQUEST * requests)
         data = b''
-        with trio.fail_after(PROMPT_S):
+        with trio.fail_after(TIMEOUT_S):
             while data.count(b'done') < requests:
                 data += await stream.receive_some()
             await stream.send_eof()
@@ -47,11 +45,9 @@
 
 
 @pytest.mark.parametrize('close', [True, False])
-async def test_quart_answers_leave_no_connection_behind(close, monkeypatch):
-    # A health check that asks to close waits for the end of the connection
-    # until its own time limit, about every second time. Quart cancels its
-    # request as soon as the answer has been sent, and so the server's steps
-    # after it: closing the connection, or starting to count its idle time.
+async def test_connections_close_after_quart_responses(close, monkeypatch):
+    # Guards against connections that stay open because Quart cancels the
+    # request's task, and with it the close or the start of the idle period.
     monkeypatch.setattr(serving, 'KEEP_ALIVE_S', 0.2)
     app = quart_trio.QuartTrio('test')
 
@@ -70,30 +66,30 @@
             stream = await trio.open_tcp_stream('127.0.0.1', port)
             async with stream:
                 await stream.send_all(request)
-                with trio.fail_after(PROMPT_S):
+                with trio.fail_after(TIMEOUT_S):
                     while await stream.receive_some(65536):
                         pass
         nursery.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize('close', [True, False])
-async def test_callers_are_told_how_long_a_connection_is_kept(close):
-    # A request that crosses the close of its idle connection is not answered.
+async def test_responses_advertise_the_keep_alive_time(close):
+    # Guards against callers that reuse a connection as it is being closed.
     sock = serving.listen('127.0.0.1:0')
     request = REQUEST
     if close:
         request = REQUEST.replace(b'host', b'connection: close\r\nhost')
     async with trio.open_nursery() as nursery:
         nursery.start_soon(
-            serving.serve, answer, sock, trio.sleep_forever, 1.0
+            serving.serve, respond, sock, trio.sleep_forever, 1.0
         )
         stream = await trio.open_tcp_stream(*sock.getsockname())
         await stream.send_all(request)
         data = b''
-        with trio.fail_after(PROMPT_S):
+        with trio.fail_after(TIMEOUT_S):
             while b'\r\n\r\n' not in data:
                 data += await stream.receive_some()
         nursery.cancel_scope.cancel()
-    told_s = int(re.search(rb'keep-alive: timeout=(\d+)', data, re.I)[1])
-    assert 0 < told_s < serving.KEEP_ALIVE_S
+    advertised_s = int(re.search(rb'keep-alive: timeout=(\d+)', data, re.I)[1])
+    assert 0 < advertised_s < serving.KEEP_ALIVE_S
     assert (b'connection: close' in data.lower()) == close
--- a/test/util/test_stop_while_accepting.py
+++ b/test/util/test_stop_while_accepting.py
@@ -1,4 +1,4 @@
-"""Test connections that come as a server stops accepting."""
+"""Test connections that arrive while a server stops accepting."""
 
 import collections
 import contextlib
@@ -11,31 +11,31 @@
 REQUEST = b'GET /%d HTTP/1.1\r\nhost: x\r\n\r\n'
 ROUNDS = 30
 CALLERS = 40
-# Around the end of accepting.
+# Time over which the connections are spread, around the stop.
 SPREAD_S = 0.02
-PROMPT_S = 5.0
+TIMEOUT_S = 5.0
 
 
-async def call(address, number, answered):
-    """Connect and ask; note a whole answer."""
+async def send_request(address, number, answered):
+    """Send a request; record its number if the response is complete."""
     with contextlib.suppress(OSError, trio.BrokenResourceError):
         async with await trio.open_tcp_stream(*address) as stream:
             await stream.send_all(REQUEST % number)
             data = b''
-            with trio.fail_after(PROMPT_S):
+            with trio.fail_after(TIMEOUT_S):
                 while part := await stream.receive_some():
                     data += part
             if data.endswith(b'done'):
                 answered.add(number)
 
 
-async def play(outcomes):
-    """Stop a server while callers connect to it."""
-    seen, answered = set(), set()
+async def stop_while_connecting(outcomes):
+    """Stop a server while callers connect, and count the outcomes."""
+    handled, answered = set(), set()
 
     async def serve(exchange):
         number = int(exchange.path[1:])
-        seen.add(number)
+        handled.add(number)
         await exchange.read_body(1000, 1.0)
         await trio.sleep(0.01)
         await exchange.respond(200, 'text/plain', b'done')
@@ -45,22 +45,23 @@
     stop = trio.Event()
     app = asgi.make_app(serve)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(serving.serve, app, sock, stop.wait, PROMPT_S)
+        nursery.start_soon(serving.serve, app, sock, stop.wait, TIMEOUT_S)
         for number in range(CALLERS):
-            nursery.start_soon(call, address, number, answered)
+            nursery.start_soon(send_request, address, number, answered)
             if number == CALLERS // 2:
                 stop.set()
             await trio.sleep(SPREAD_S / CALLERS)
     outcomes['answered'] += len(answered)
-    outcomes['closed unread'] += CALLERS - len(seen)
-    outcomes['taken, no answer'] += len(seen - answered)
+    outcomes['not handled'] += CALLERS - len(handled)
+    outcomes['handled, no response'] += len(handled - answered)
 
 
-async def test_what_was_taken_as_accepting_ends_is_answered():
-    # A new connection was closed as idle while its request was being taken.
+async def test_stop_does_not_close_new_connections_with_a_request():
+    # Guards against closing a new connection as idle while its request is
+    # being read.
     outcomes = collections.Counter()
     for _ in range(ROUNDS):
-        await play(outcomes)
+        await stop_while_connecting(outcomes)
     assert outcomes['answered']
-    assert outcomes['closed unread']
-    assert not outcomes['taken, no answer'], outcomes
+    assert outcomes['not handled']
+    assert not outcomes['handled, no response'], outcomes
--- a/test/util/test_tls.py
+++ b/test/util/test_tls.py
@@ -25,10 +25,10 @@
 def _builder(name, issuer, key):
     now = datetime.datetime.now(datetime.UTC)
     day = datetime.timedelta(days=1)
-    made = x509.CertificateBuilder().subject_name(name).issuer_name(issuer)
-    made = made.public_key(key.public_key())
-    made = made.serial_number(x509.random_serial_number())
-    return made.not_valid_before(now - day).not_valid_after(now + day)
+    builder = x509.CertificateBuilder().subject_name(name).issuer_name(issuer)
+    builder = builder.public_key(key.public_key())
+    builder = builder.serial_number(x509.random_serial_number())
+    return builder.not_valid_before(now - day).not_valid_after(now + day)
 
 
 def _name(text):
@@ -42,19 +42,19 @@
         self.key = ec.generate_private_key(ec.SECP256R1())
         self.name = _name(name)
         basic = x509.BasicConstraints(ca=True, path_length=0)
-        made = _builder(self.name, self.name, self.key)
-        made = made.add_extension(basic, critical=True)
+        builder = _builder(self.name, self.name, self.key)
+        builder = builder.add_extension(basic, critical=True)
         self.path = folder / f'{name}.pem'
-        signed = made.sign(self.key, hashes.SHA256())
+        signed = builder.sign(self.key, hashes.SHA256())
         self.path.write_bytes(signed.public_bytes(PEM))
 
     def issue(self, folder, name, key=None):
-        """Write a certificate and key; return the files."""
+        """Write a certificate and its key; return their paths."""
         key = key or ec.generate_private_key(ec.SECP256R1())
         address = x509.IPAddress(ipaddress.ip_address('127.0.0.1'))
         names = x509.SubjectAlternativeName([address])
-        made = _builder(_name(name), self.name, key)
-        signed = made.add_extension(names, critical=False).sign(
+        builder = _builder(_name(name), self.name, key)
+        signed = builder.add_extension(names, critical=False).sign(
             self.key, hashes.SHA256()
         )
         cert, private = folder / 'cert.pem', folder / 'key.pem'
@@ -74,13 +74,13 @@
 
 
 def _folder(tmp_path, name):
-    made = tmp_path / name
-    made.mkdir()
-    return made
+    folder = tmp_path / name
+    folder.mkdir()
+    return folder
 
 
-async def _meet(server, client):
-    """Connect once; return the names each side saw, or raise."""
+async def _shake_hands(server, client):
+    """Do a handshake; return the peer's name as seen by each side."""
     near, far = trio.testing.memory_stream_pair()
     one = trio.SSLStream(near, client, server_hostname='127.0.0.1')
     two = trio.SSLStream(far, server, server_side=True)
@@ -103,98 +103,97 @@
 async def _is_refused(server, client):
     refused = False
     try:
-        await _meet(server, client)
+        await _shake_hands(server, client)
     except* trio.BrokenResourceError:
         refused = True
     return refused
 
 
-async def test_peers_know_each_other_by_their_authority(tmp_path, authority):
+async def test_peers_with_the_same_authority_can_connect(tmp_path, authority):
     files = [
         authority.issue(_folder(tmp_path, name), name)
         for name in ('vm-1', 'vm-2')
     ]
     first, second = (tls.make_peer_credentials(item) for item in files)
-    seen = await _meet(first.server, second.client)
+    seen = await _shake_hands(first.server, second.client)
     assert seen == {'client': 'vm-1', 'server': 'vm-2'}
 
 
-async def test_strangers_are_not_peers(tmp_path, authority):
-    """A process outside the fleet reads and sends configuration to a VM.
+async def test_peers_of_another_authority_are_refused(tmp_path, authority):
+    """Guards against peer connections with processes outside the fleet.
 
-    It has a certificate of another authority, or none. Both sides check
-    the chain, so the handshake fails before any message.
+    They have a certificate of another authority, or none.
     """
-    mine = tls.make_peer_credentials(
+    own = tls.make_peer_credentials(
         authority.issue(_folder(tmp_path, 'a'), 'vm-1')
     )
     other = Authority(tmp_path, 'other')
-    theirs = tls.make_peer_credentials(
+    foreign = tls.make_peer_credentials(
         other.issue(_folder(tmp_path, 'b'), 'vm-x')
     )
-    bare = ssl.create_default_context(cafile=str(authority.path))
+    without_certificate = ssl.create_default_context(
+        cafile=str(authority.path)
+    )
     for server, client in [
-        (mine.server, theirs.client),
-        (theirs.server, mine.client),
-        (mine.server, bare),
+        (own.server, foreign.client),
+        (foreign.server, own.client),
+        (own.server, without_certificate),
     ]:
         assert await _is_refused(server, client)
 
 
 @pytest.mark.parametrize('new_key', ['same type', 'other type'])
-async def test_a_changed_file_is_used_by_new_connections(
+async def test_new_connections_use_the_changed_certificate(
     tmp_path, authority, new_key
 ):
-    """Callers are turned away on the day a certificate runs out.
+    """Guards against using an expired certificate that was replaced.
 
-    The files were replaced in time, but the process still shows the one it
-    read at its start. New connections must get a context of the new files,
-    also when the new key is of another type than the old.
+    The new key may be of another type than the old one.
     """
     folder = _folder(tmp_path, 'a')
     files = authority.issue(folder, 'old')
-    pair = tls.make_peer_credentials(files)
-    assert not pair.reload_if_changed()
+    credentials = tls.make_peer_credentials(files)
+    assert not credentials.reload_if_changed()
     key = None
     if new_key == 'other type':
         key = rsa.generate_private_key(65537, 2048)
     authority.issue(folder, 'new', key)
-    assert pair.reload_if_changed()
-    assert not pair.reload_if_changed()
-    seen = await _meet(pair.server, pair.client)
+    assert credentials.reload_if_changed()
+    assert not credentials.reload_if_changed()
+    seen = await _shake_hands(credentials.server, credentials.client)
     assert seen == {'client': 'new', 'server': 'new'}
 
 
-async def test_a_withdrawn_authority_is_no_longer_trusted(tmp_path, authority):
-    """A stolen authority is replaced, yet its certificates still work.
+async def test_removed_authority_is_no_longer_trusted(tmp_path, authority):
+    """Guards against certificates of an authority that was replaced.
 
-    Loading the new authority into a context in use only adds to those
-    trusted before. Contexts are made anew, so the old one is gone.
+    Loading an authority into an existing context only adds it.
     """
     files = authority.issue(_folder(tmp_path, 'a'), 'vm-1')
-    pair = tls.make_peer_credentials(files)
+    credentials = tls.make_peer_credentials(files)
     old = tls.make_peer_credentials(
         authority.issue(_folder(tmp_path, 'b'), 'vm-old')
     )
-    await _meet(pair.server, old.client)
+    await _shake_hands(credentials.server, old.client)
     Authority(tmp_path).issue(tmp_path / 'a', 'vm-1')
-    assert pair.reload_if_changed()
-    # The stranger accepts us, so only we can refuse.
+    assert credentials.reload_if_changed()
+    # The old peer trusts the new authority, so only the server can refuse.
     old.client.load_verify_locations(str(authority.path))
-    assert await _is_refused(pair.server, old.client)
-    assert len(await _meet(pair.server, pair.client)) == 2
+    assert await _is_refused(credentials.server, old.client)
+    assert len(await _shake_hands(credentials.server, credentials.client)) == 2
 
 
 @pytest.mark.parametrize('damage', ['garbage', 'other key', 'gone'])
-async def test_a_half_replaced_pair_keeps_the_old(tmp_path, authority, damage):
-    """New connections fail for the moment between two file writes.
+async def test_incomplete_replacement_keeps_the_old_certificate(
+    tmp_path, authority, damage
+):
+    """Guards against failing connections between two file writes.
 
-    A reload sees the new certificate with the old key. It must be refused
-    whole, keep the old pair in use and be tried again.
+    A reload that sees only one new file must be retried later.
     """
     folder = _folder(tmp_path, 'a')
     files = authority.issue(folder, 'old')
-    pair = tls.make_peer_credentials(files)
+    credentials = tls.make_peer_credentials(files)
     spare = authority.issue(_folder(tmp_path, 'b'), 'new')
     key = pathlib.Path(files.key)
     if damage == 'gone':
@@ -204,20 +203,20 @@
         pathlib.Path(files.cert).write_bytes(cert)
         if damage == 'garbage':
             key.write_text('half')
-    assert not pair.reload_if_changed()
-    seen = await _meet(pair.server, pair.client)
+    assert not credentials.reload_if_changed()
+    seen = await _shake_hands(credentials.server, credentials.client)
     assert seen == {'client': 'old', 'server': 'old'}
     authority.issue(folder, 'new')
-    assert pair.reload_if_changed()
-    seen = await _meet(pair.server, pair.client)
+    assert credentials.reload_if_changed()
+    seen = await _shake_hands(credentials.server, credentials.client)
     assert seen == {'client': 'new', 'server': 'new'}
 
 
-async def test_callers_are_served_by_tls_and_by_the_renewed_certificate(
+async def test_callers_are_served_with_the_reloaded_certificate(
     tmp_path, authority
 ):
     async def app(scope, receive, send):
-        # As ASGI asks of one that has no use for other scopes.
+        # ASGI allows an application to raise on scopes it does not support.
         assert scope['type'] == 'http'
         head = {'type': 'http.response.start', 'status': 200, 'headers': []}
         await send(head)
@@ -225,7 +224,7 @@
 
     folder = _folder(tmp_path, 'a')
     files = authority.issue(folder, 'old')
-    made = tls.make_caller_credentials(
+    credentials = tls.make_caller_credentials(
         files.cert, files.key, '10.0.0.1:443', False
     )
     trust = ssl.create_default_context(cafile=files.ca)
@@ -238,7 +237,7 @@
         )
         async with stream:
             await stream.do_handshake()
-            shown = stream.getpeercert()['subject'][0][0][1]
+            name = stream.getpeercert()['subject'][0][0][1]
             await stream.send_all(
                 b'GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n'
             )
@@ -246,35 +245,35 @@
             while part := await stream.receive_some(1000):
                 answer += part
             assert answer.endswith(b'hello\r\n0\r\n\r\n')
-            return shown
+            return name
 
     with trio.fail_after(5):
         async with trio.open_nursery() as nursery:
-            stop = (trio.sleep_forever, 0.1, made.server)
+            stop = (trio.sleep_forever, 0.1, credentials.server)
             nursery.start_soon(serving.serve, app, sock, *stop)
             assert await ask() == 'old'
             authority.issue(folder, 'new')
-            assert made.reload_if_changed()
+            assert credentials.reload_if_changed()
             assert await ask() == 'new'
             nursery.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize(
-    ('files', 'said'),
+    ('files', 'message'),
     [
         (tls.CertificateFiles('c', ''), 'together'),
         (tls.CertificateFiles('c', 'k'), '--peer-tls-ca-file'),
         (tls.CertificateFiles('/nowhere/c', '/nowhere/k', 'a'), '/nowhere/c'),
     ],
 )
-def test_bad_files_stop_the_start(files, said):
-    with pytest.raises(errors.SettingsError, match=said):
+def test_unusable_files_raise_settings_error(files, message):
+    with pytest.raises(errors.SettingsError, match=message):
         tls.make_peer_credentials(files)
     assert tls.make_peer_credentials(tls.CertificateFiles('', '')) is None
 
 
 @pytest.mark.parametrize(
-    ('address', 'allowed', 'fine'),
+    ('address', 'allowed', 'accepted'),
     [
         ('127.0.0.1:80', False, True),
         ('127.9.9.9:80', False, True),
@@ -286,8 +285,8 @@
         ('10.0.0.1:80', True, True),
     ],
 )
-def test_plain_is_for_loopback(address, allowed, fine):
-    if fine:
+def test_only_loopback_may_be_served_without_tls(address, allowed, accepted):
+    if accepted:
         tls.check_plaintext_allowed(address, allowed, '--listen')
         return
     with pytest.raises(errors.SettingsError, match='--insecure-plain'):
