--- a/gentianstair/control/engine_orders.py
+++ b/gentianstair/control/engine_orders.py
@@ -1,15 +1,5 @@
 """Send each engine one order at a time, under the authority of a lease."""
 
-import collections
-import collections.abc
-import contextlib
-import typing
-
-import loguru
-import msgspec
-import prometheus_client
-import trio
-
 from gentianstair import errors
 from gentianstair import verdict
 from gentianstair.control import lease
@@ -20,6 +10,14 @@
 from gentianstair.util import audit
 from gentianstair.util import clock as clocks
 from gentianstair.util import leased_call
+import collections
+import collections.abc
+import contextlib
+import loguru
+import msgspec
+import prometheus_client
+import trio
+import typing
 
 KIND = 'engine-order'
 PURPOSE = 'order'
@@ -79,7 +77,7 @@
 
     An engine's record is written before an order is sent (as intended) and
     after its outcome is known. Both writes are conditional, so if two
-    processes believe to hold the lease, one of them fails before it sends.
+    processes believe that they hold the lease, one fails before it sends.
     """
 
     def __init__(
@@ -140,8 +138,7 @@
                 if outcome not in _ACCEPTED_OUTCOMES:
                     audit_outcome = audit.Outcome.REFUSED
             finally:
-                # The order has its outcome by now. If this write is lost, the
-                # record still names the audit entry.
+                # If this write fails, the record still names the audit entry.
                 with contextlib.suppress(errors.StoreError):
                     await audit.record_outcome(
                         self._store, entry_name, audit_outcome
--- a/gentianstair/control/main.py
+++ b/gentianstair/control/main.py
@@ -1,14 +1,5 @@
 """Run the program gentianstair-control."""
 
-import time
-
-import httpx
-import loguru
-import prometheus_client
-import quart
-import quart_trio
-import trio
-
 from gentianstair import daemon
 from gentianstair import errors
 from gentianstair.config import view as views
@@ -29,6 +20,13 @@
 from gentianstair.upstreams import orders_client
 from gentianstair.util import clock
 from gentianstair.util import serving
+import httpx
+import loguru
+import prometheus_client
+import quart
+import quart_trio
+import time
+import trio
 
 # Time that open HTTP requests have at a stop; also the interval at which the
 # candidates are updated.
@@ -95,6 +93,7 @@
             scope: authority.epoch
             for scope, authority in lease_manager.held.items()
         }
+        # looked_ago_s is the time since the leases were last listed.
         body = {'ready': ready, 'looked_ago_s': age_s, 'held': held}
         return body, 200 if ready else 503
 
--- a/gentianstair/control/planning.py
+++ b/gentianstair/control/planning.py
@@ -1,18 +1,16 @@
 """Collect demand and engine state for the role planner, order its changes."""
 
-import typing
-
-import httpx
-import loguru
-import msgspec
-import trio
-
 from gentianstair.control import duties
 from gentianstair.control import lease
 from gentianstair.control import role_planner
 from gentianstair.entry import usage
 from gentianstair.generated import messages
 from gentianstair.util import usage_rows
+import httpx
+import loguru
+import msgspec
+import trio
+import typing
 
 PURPOSE = 'status'
 PLAN_INTERVAL_S = 2.0
@@ -159,10 +157,10 @@
     context: duties.Context, name: str, value: messages.UpstreamValue
 ) -> role_planner.EngineView:
     try:
-        answer = await context.client.get(
+        response = await context.client.get(
             f'{value["url"]}/load', timeout=duties.LOAD_REQUEST_TIMEOUT_S
         )
-        load = answer.json()
+        load = response.json()
         return role_planner.EngineView(
             name, str(load['role']), str(load['state']), int(load['running'])
         )
--- a/gentianstair/control/usage_sealer.py
+++ b/gentianstair/control/usage_sealer.py
@@ -1,11 +1,5 @@
 """Seal usage windows and report them to the platform, once each."""
 
-import contextlib
-import typing
-
-import msgspec
-import prometheus_client
-
 from gentianstair import errors
 from gentianstair.control import lease
 from gentianstair.entry import usage
@@ -15,6 +9,10 @@
 from gentianstair.store import store as stores
 from gentianstair.util import clock as clocks
 from gentianstair.util import usage_rows
+import contextlib
+import msgspec
+import prometheus_client
+import typing
 
 PURPOSE = 'usage'
 # An entry's counts are deleted after they stayed unchanged for this time, if
@@ -45,9 +43,9 @@
 class Sealer:
     """Seals and reports usage windows.
 
-    Sealing a window creates its seal object, which only the first sealer
-    can do, and reports are made from that object only. So two sealers that
-    both believe to hold the lease report the same figures.
+    A window's seal object holds its final counts. Only the first sealer can
+    create it, and reports are made from it alone, so two sealers that both
+    believe that they hold the lease report the same counts.
     """
 
     def __init__(
