--- a/gentianstair/peers/broadcaster.py
+++ b/gentianstair/peers/broadcaster.py
@@ -58,9 +58,9 @@
         session.request_heartbeat()
 
     def _send_members(self, session: session_module.Session) -> None:
-        everyone = list(self._members.by_name.values())
-        for start in range(0, len(everyone), MAX_MEMBERS_PER_MESSAGE):
-            batch = everyone[start : start + MAX_MEMBERS_PER_MESSAGE]
+        members = list(self._members.by_name.values())
+        for start in range(0, len(members), MAX_MEMBERS_PER_MESSAGE):
+            batch = members[start : start + MAX_MEMBERS_PER_MESSAGE]
             session.queue(outgoing_messages.make_members(batch))
         session.queue(outgoing_messages.make_listed(self._members.listed))
 
@@ -94,12 +94,12 @@
 
     def merge_listed(
         self,
-        found: dict[str, membership.ListedState],
+        entries: dict[str, membership.ListedState],
         exclude: session_module.Session | None,
     ) -> None:
         """Apply entries of the platform's list and forward what changed."""
         now_s = self._clock()
-        applied, changed = self._members.apply_vm_list(found, now_s)
+        applied, changed = self._members.apply_vm_list(entries, now_s)
         if applied:
             self.broadcast(outgoing_messages.make_listed(applied), exclude)
         self.broadcast_members(changed)
--- a/gentianstair/peers/freshness.py
+++ b/gentianstair/peers/freshness.py
@@ -79,8 +79,8 @@
         """Say whether a recent survey reached a majority of the voters.
 
         A minority refuses, since a key may have been revoked on the other
-        side of a partition. A majority goes on without the store for up to
-        outage_limit_s.
+        side of a partition. A majority goes on for up to outage_limit_s:
+        while the store is down for all, no key can be revoked.
         """
         age_s = self.reached_age_s()
         silence_s = self.store_silence_s()
--- a/gentianstair/peers/indirect_probe.py
+++ b/gentianstair/peers/indirect_probe.py
@@ -85,10 +85,10 @@
         sessions = self._open_sessions()
         return self._rng.sample(sessions, min(count, len(sessions)))
 
-    def handle_answer(self, message: messages.PeerProbe) -> None:
+    def handle_answer(self, answer: messages.PeerProbe) -> None:
         """End the probe of a VM that a peer reaches."""
-        if message['heard']:
-            self._probing.discard(message['name'])
+        if answer['heard']:
+            self._probing.discard(answer['name'])
 
     async def answer_probe(
         self, requester: session_module.Session, name: str
--- a/gentianstair/peers/link.py
+++ b/gentianstair/peers/link.py
@@ -84,19 +84,19 @@
         raw = cbor2.loads(
             data, max_depth=MAX_NESTING_DEPTH, allow_indefinite=False
         )
-        name = raw['type'] if isinstance(raw, dict) else None
+        message_type = raw['type'] if isinstance(raw, dict) else None
     except (cbor2.CBORDecodeError, KeyError, ValueError) as error:
         raise errors.DecodeError(str(error)) from error
-    if not isinstance(name, str):
+    if not isinstance(message_type, str):
         raise errors.DecodeError('message is not a map with a type')
-    if name not in MESSAGE_TYPES:
+    if message_type not in MESSAGE_TYPES:
         DROPPED_MESSAGES.labels('unknown type').inc()
         return None
     try:
-        message = msgspec.convert(raw, MESSAGE_TYPES[name])
+        message = msgspec.convert(raw, MESSAGE_TYPES[message_type])
     except (msgspec.ValidationError, TypeError) as error:
         raise errors.DecodeError(str(error)) from error
-    MESSAGE_BYTES.labels('in', name).inc(len(data))
+    MESSAGE_BYTES.labels('in', message_type).inc(len(data))
     return typing.cast(Message, message)
 
 
@@ -215,7 +215,7 @@
                 max_size=MAX_MESSAGE_BYTES,
                 max_queue=MAX_RECEIVE_QUEUE_FRAMES,
             )
-            opened = await connection.__aenter__()
+            websocket = await connection.__aenter__()
         except (
             OSError,
             TimeoutError,
@@ -227,8 +227,8 @@
         ) as error:
             raise LinkClosedError(f'{address}: {error}') from error
         try:
-            _limit_delivery_time(opened)
-            yield WebsocketChannel(opened)
+            _limit_delivery_time(websocket)
+            yield WebsocketChannel(websocket)
         finally:
             await connection.__aexit__(None, None, None)
 
--- a/gentianstair/peers/membership.py
+++ b/gentianstair/peers/membership.py
@@ -16,9 +16,9 @@
 # How long a gone VM is remembered, so that a late claim of a slow peer does
 # not bring it back.
 FORGET_GONE_AFTER_S = 3600.0
-# Within this time after its first conflict, a process takes a greater
-# incarnation under its name for that of its predecessor, whose wall clock was
-# ahead.
+# Within this time after the first claim about itself, a process takes a
+# greater incarnation of its name for that of its predecessor, whose wall clock
+# was ahead.
 PREDECESSOR_WINDOW_S = 10.0
 
 # Precedence of claims with equal incarnation and counter: the greater wins.
@@ -53,9 +53,9 @@
     return typing.cast(messages.PeerMember, member._asdict())
 
 
-def from_message(found: messages.PeerMember) -> Member:
+def from_message(message: messages.PeerMember) -> Member:
     """Return the member from a message field."""
-    return Member(**found)
+    return Member(**message)
 
 
 def _precedence(member: Member) -> tuple[int, int, int]:
@@ -101,15 +101,15 @@
         self.by_name[self.own_name] = self.own._replace(address=address)
 
     def apply(
-        self, found: typing.Iterable[Member], now_s: float
+        self, members: typing.Iterable[Member], now_s: float
     ) -> list[Member]:
         """Apply newer records; return those to pass on to peers.
 
         A claim about this node itself, for example by a peer that could not
         reach it, is refuted with a greater counter.
         """
-        taken = []
-        for member in found:
+        applied = []
+        for member in members:
             known = self.by_name.get(member.name)
             if known and _precedence(known) >= _precedence(member):
                 continue
@@ -118,8 +118,8 @@
                 if member is None:
                     continue
             self._set(member, now_s)
-            taken.append(member)
-        return taken
+            applied.append(member)
+        return applied
 
     def _refute(self, claim: Member, now_s: float) -> Member | None:
         own = self.own
@@ -163,27 +163,27 @@
 
     def expire_suspects(self, now_s: float, gone_s: float) -> list[Member]:
         """Mark VMs as gone that were suspect for longer than gone_s."""
-        late = [
+        expired = [
             name
             for name, since_s in self.suspect_since_s.items()
             if now_s - since_s > gone_s
         ]
         return [
-            made
-            for name in late
-            for made in self.set_status(name, GONE, now_s)
+            member
+            for name in expired
+            for member in self.set_status(name, GONE, now_s)
         ]
 
     def apply_vm_list(
-        self, found: dict[str, ListedState], now_s: float
+        self, entries: dict[str, ListedState], now_s: float
     ) -> tuple[dict[str, ListedState], list[Member]]:
         """Apply newer entries of the platform's list.
 
         Return the entries that changed and the members changed by them.
         """
-        taken = {}
+        applied = {}
         changed = []
-        for name, entry in found.items():
+        for name, entry in entries.items():
             known = self.listed.get(name)
             if known is not None and known.at_ms >= entry.at_ms:
                 continue
@@ -193,14 +193,14 @@
                 # Only the time of reading is newer: passing it on would
                 # resend the whole list for each VM that starts.
                 continue
-            taken[name] = entry
+            applied[name] = entry
             if entry.state == LEAVING:
                 changed += self.set_status(name, LEAVING, now_s)
             # A suspect VM that is off the list is gone. One that is heard
             # from is new, and the list lags.
             if entry.state == ABSENT and name in self.suspect_since_s:
                 changed += self.set_status(name, GONE, now_s)
-        return taken, changed
+        return applied, changed
 
     def diff_vm_list(
         self, states: dict[str, str], now_ms: int
@@ -220,17 +220,17 @@
         """Return a digest of the members and of the list, for comparison."""
         if self._digest[0] == self.generation:
             return self._digest[1]
-        total = 0
+        combined = 0
         for member in self.by_name.values():
             if member.status != GONE and member.incarnation:
-                total ^= xxhash.xxh64_intdigest(repr(member).encode())
+                combined ^= xxhash.xxh64_intdigest(repr(member).encode())
         for name, entry in self.listed.items():
             if entry.state != ABSENT:
-                total ^= xxhash.xxh64_intdigest(
+                combined ^= xxhash.xxh64_intdigest(
                     f'{name}/{entry.state}'.encode()
                 )
-        self._digest = (self.generation, total)
-        return total
+        self._digest = (self.generation, combined)
+        return combined
 
     def present(self) -> list[Member]:
         """Return the members that links may be opened to."""
@@ -246,34 +246,34 @@
         A suspect VM stays in until it is gone, so that a slow VM does not
         make others change their links.
         """
-        placed = {
+        domains_by_name = {
             member.name: member.failure_domain
             for member in self.by_name.values()
             if member.status in (LIVE, SUSPECT)
         }
-        placed[self.own_name] = self.own.failure_domain
-        return placed
+        domains_by_name[self.own_name] = self.own.failure_domain
+        return domains_by_name
 
     def voters(self) -> set[str]:
         """Return the VMs that a majority is counted against."""
-        counted = set()
+        names = set()
         for member in self.by_name.values():
             entry = self.listed.get(member.name)
-            silent = member.status in (SUSPECT, GONE)
-            off_list = entry is not None and entry.state == ABSENT
-            if member.status == LIVE or (silent and not off_list):
-                counted.add(member.name)
+            is_silent = member.status in (SUSPECT, GONE)
+            is_off_list = entry is not None and entry.state == ABSENT
+            if member.status == LIVE or (is_silent and not is_off_list):
+                names.add(member.name)
         for name, entry in self.listed.items():
             if entry.state == LIVE:
-                counted.add(name)
-        return counted
+                names.add(name)
+        return names
 
     def forget_gone(self, now_s: float) -> None:
         """Drop VMs that are off the list and have long been gone."""
         for name, since_s in list(self._gone_since_s.items()):
             entry = self.listed.get(name)
-            listed = entry is not None and entry.state != ABSENT
-            if now_s - since_s > FORGET_GONE_AFTER_S and not listed:
+            is_listed = entry is not None and entry.state != ABSENT
+            if now_s - since_s > FORGET_GONE_AFTER_S and not is_listed:
                 self.generation += 1
                 del self._gone_since_s[name]
                 self.by_name.pop(name, None)
@@ -282,7 +282,5 @@
     def update_metrics(self) -> None:
         """Set the metric of members by status."""
         for status in _STATUS_PRECEDENCE:
-            number = sum(
-                1 for m in self.by_name.values() if m.status == status
-            )
-            MEMBER_COUNT.labels(status).set(number)
+            count = sum(1 for m in self.by_name.values() if m.status == status)
+            MEMBER_COUNT.labels(status).set(count)
--- a/gentianstair/peers/node.py
+++ b/gentianstair/peers/node.py
@@ -167,7 +167,7 @@
 
         Known VMs that did not answer in time are left out.
         """
-        found: dict[str, int] = {}
+        revisions_by_vm: dict[str, int] = {}
         voters = self._members.voters()
         # A link that closes during a survey loses the answers behind it, so
         # the survey is repeated when VMs are missing.
@@ -175,10 +175,10 @@
             result = await self._surveys.run(
                 timeout_s / CONFIRM_ATTEMPTS, revisions=True
             )
-            found.update(result.revisions)
-            if voters <= found.keys():
+            revisions_by_vm.update(result.revisions)
+            if voters <= revisions_by_vm.keys():
                 break
-        return found
+        return revisions_by_vm
 
     def leave(self) -> None:
         """Tell the peers that this VM is leaving; keep the links."""
@@ -214,18 +214,18 @@
     async def _dial(self, name: str, address: str) -> None:
         """Open a link and run it to its end."""
         self._dialing.add(name)
-        reached = False
+        connected = False
         try:
             async with self._network.open(address) as channel:
-                reached = True
+                connected = True
                 await self._run_session(channel, dialed=True, dialed_name=name)
         except link.LinkClosedError:
             pass
         finally:
             self._dialing.discard(name)
-            if not reached:
+            if not connected:
                 self._backoff.record_failure(name)
-        if not reached and name in self._members.by_name:
+        if not connected and name in self._members.by_name:
             self._nursery.start_soon(self._prober.probe, name)
 
     async def _run_session(
@@ -389,10 +389,10 @@
         """Close one link that this node dialed and no longer needs."""
         # One at a time and only while enough others are synced, so that the
         # node keeps receiving changes while its position moves.
-        ready = [session for session in self._sessions if session.synced]
-        if len(ready) <= len(position.dial):
+        synced = [session for session in self._sessions if session.synced]
+        if len(synced) <= len(position.dial):
             return
-        for session in ready:
+        for session in synced:
             if session.dialed and session.peer.name not in position.dial:
                 session.scope.cancel()
                 return
@@ -409,8 +409,8 @@
             for summary in self._summaries.take_due():
                 size_bytes += len(link.encode(summary))
                 self._broadcaster.broadcast(summary)
-            copies = self._voter_count * max(1, len(self._sessions))
-            pause_s = copies * size_bytes / MAX_SUMMARY_BYTES_PER_S
+            deliveries = self._voter_count * max(1, len(self._sessions))
+            pause_s = deliveries * size_bytes / MAX_SUMMARY_BYTES_PER_S
             await trio.sleep(max(MIN_SUMMARY_INTERVAL_S, pause_s))
 
     async def _watch_loop(self) -> None:
@@ -457,9 +457,9 @@
             pause_s = self._settings.vms_s * (1 + 2 * position.rank)
             await trio.sleep(pause_s * self._rng.uniform(0.75, 1.25))
 
-    def _apply_vm_list(self, found: list[vm_list_module.Vm]) -> None:
+    def _apply_vm_list(self, listed_vms: list[vm_list_module.Vm]) -> None:
         now_s = self._clock()
-        new = [
+        new_members = [
             membership.Member(
                 vm.name,
                 0,
@@ -469,12 +469,12 @@
                 vm.region,
                 vm.address,
             )
-            for vm in found
+            for vm in listed_vms
             if vm.name not in self._members.by_name
         ]
         # Not forwarded: peers learn of the VM once its process runs.
-        self._members.apply(new, now_s)
-        states = {vm.name: vm.state for vm in found}
+        self._members.apply(new_members, now_s)
+        states = {vm.name: vm.state for vm in listed_vms}
         now_ms = int(time.time() * 1000)
         changes = self._members.diff_vm_list(states, now_ms)
         self._broadcaster.merge_listed(changes, None)
@@ -492,30 +492,33 @@
         the count to reach all VMs before a view is too old. The others wait
         longer.
         """
-        survey_after_s = self._settings.freshness_s / 2
+        first_watcher_s = self._settings.freshness_s / 2
         position = self._find_position(self._clock())
-        first = position.level == 0 and position.rank == 0
-        return survey_after_s if first else 1.5 * survey_after_s
+        is_first_watcher = position.level == 0 and position.rank == 0
+        return first_watcher_s if is_first_watcher else 1.5 * first_watcher_s
 
     def _next_survey_in_s(self) -> float:
         """Return the time until a survey is due, at least a short pause."""
-        least_s = self._settings.freshness_s / 12
-        silent_s = self._freshness.store_silence_s()
-        if silent_s is None:
+        min_wait_s = self._settings.freshness_s / 12
+        silence_s = self._freshness.store_silence_s()
+        if silence_s is None:
             return math.inf
-        return max(least_s, self._survey_after_s() - silent_s)
+        return max(min_wait_s, self._survey_after_s() - silence_s)
 
     def _start_survey_if_due(self) -> None:
         """Start a survey when the store has been silent for long."""
-        silent_s = self._freshness.store_silence_s()
+        silence_s = self._freshness.store_silence_s()
         survey_after_s = self._survey_after_s()
-        if silent_s is None or silent_s < survey_after_s or self._surveying:
+        if silence_s is None or silence_s < survey_after_s or self._surveying:
             return
-        reached_s = self._freshness.reached_age_s()
-        if reached_s is not None and reached_s < survey_after_s / 2:
+        reached_age_s = self._freshness.reached_age_s()
+        if reached_age_s is not None and reached_age_s < survey_after_s / 2:
             return
-        first = survey_after_s <= self._settings.freshness_s / 2
-        if first or self._rng.random() < BACKUP_SURVEYORS / self._voter_count:
+        is_first_watcher = survey_after_s <= self._settings.freshness_s / 2
+        if (
+            is_first_watcher
+            or self._rng.random() < BACKUP_SURVEYORS / self._voter_count
+        ):
             self._nursery.start_soon(self._run_survey)
 
     async def _run_survey(self) -> None:
@@ -523,8 +526,8 @@
         try:
             sent_s = self._clock()
             timeout_s = self._settings.freshness_s / 4
-            found = await self._surveys.run(timeout_s, False)
-            self._record_reached(found.reached, sent_s)
+            result = await self._surveys.run(timeout_s, False)
+            self._record_reached(result.reached, sent_s)
         finally:
             self._surveying = False
 
@@ -532,9 +535,9 @@
         """Record a count of VMs and forward it if it is newer."""
         if not self._freshness.record_reached(reached, at_s):
             return
-        gain_s = self._settings.freshness_s / 8
+        min_gain_s = self._settings.freshness_s / 8
         for session in self._sessions:
-            if at_s - session.peer_reached_at_s >= gain_s:
+            if at_s - session.peer_reached_at_s >= min_gain_s:
                 session.request_heartbeat()
 
     # Outgoing messages.
@@ -554,9 +557,9 @@
     def _send_early_heartbeats(self) -> None:
         """Send a heartbeat now to peers whose view is much older."""
         as_of_s = self._freshness.as_of_s or 0.0
-        gain_s = EARLY_HEARTBEAT_SHARE * self._settings.watch_s
+        min_gain_s = EARLY_HEARTBEAT_SHARE * self._settings.watch_s
         for session in self._sessions:
-            if as_of_s - session.peer_as_of_s >= gain_s:
+            if as_of_s - session.peer_as_of_s >= min_gain_s:
                 session.request_heartbeat()
 
     # Incoming messages.
@@ -564,8 +567,8 @@
     def _handle_members(
         self, session: session_module.Session, message: messages.PeerMembers
     ) -> None:
-        found = [membership.from_message(m) for m in message['members']]
-        changes = self._members.apply(found, self._clock())
+        members = [membership.from_message(m) for m in message['members']]
+        changes = self._members.apply(members, self._clock())
         # A refutation must also reach the peer that made the claim.
         own = [member for member in changes if member.name == self.name]
         self._broadcaster.broadcast_members(own)
@@ -575,19 +578,19 @@
     def _handle_listed(
         self, session: session_module.Session, message: messages.PeerListed
     ) -> None:
-        found = {
+        entries = {
             name: membership.ListedState(**entry)
             for name, entry in message['states'].items()
         }
-        self._broadcaster.merge_listed(found, session)
+        self._broadcaster.merge_listed(entries, session)
 
     def _handle_objects(
         self, session: session_module.Session, message: messages.PeerObjects
     ) -> None:
-        found = store_watcher.to_stored_objects(message['objects'])
-        for item in found:
+        objects = store_watcher.to_stored_objects(message['objects'])
+        for item in objects:
             session.drop_queued(item)
-        self._broadcaster.broadcast_objects(self._view.apply(found), session)
+        self._broadcaster.broadcast_objects(self._view.apply(objects), session)
         if message['final']:
             session.synced = True
             session.differing_since_s = None
@@ -622,8 +625,8 @@
             if self._freshness.record_store_view(as_of_s):
                 self._send_early_heartbeats()
         if 'outage_age_ms' in heartbeat:
-            silent_s = heartbeat['outage_age_ms'] / 1000
-            self._freshness.record_peer_view(sent_after_s - silent_s)
+            silence_s = heartbeat['outage_age_ms'] / 1000
+            self._freshness.record_peer_view(sent_after_s - silence_s)
         if 'reached' in heartbeat and 'reached_age_ms' in heartbeat:
             at_s = sent_after_s - heartbeat['reached_age_ms'] / 1000
             session.peer_reached_at_s = max(session.peer_reached_at_s, at_s)
@@ -706,12 +709,12 @@
         return any(session.peer.name == name for session in self._sessions)
 
     def _find_position(self, now_s: float) -> topology.Position:
-        avoid = frozenset(
+        unreachable = frozenset(
             name
             for name in self._backoff.waiting_names(now_s)
             if not self._is_linked(name)
         )
-        key = (self._members.generation, avoid)
+        key = (self._members.generation, unreachable)
         if key != self._position_key or self._position is None:
             self._position_key = key
             self._position = topology.find_position(
@@ -719,7 +722,7 @@
                 self._members.tree_domains(),
                 self._settings.watchers_per_domain,
                 self._settings.peer_fanout,
-                avoid,
+                unreachable,
             )
         return self._position
 
--- a/gentianstair/peers/outgoing_messages.py
+++ b/gentianstair/peers/outgoing_messages.py
@@ -30,7 +30,7 @@
 
     members_digest is None in most heartbeats, as members seldom change.
     """
-    found: link.Message = {
+    message: link.Message = {
         'type': 'beat',
         'sent_ms': int(now_s * 1000),
         'revision': view.revision,
@@ -38,28 +38,28 @@
     }
     age_s = freshness.age_s()
     if age_s is not None and age_s <= freshness_s:
-        found['age_ms'] = int(age_s * 1000) + 1
+        message['age_ms'] = int(age_s * 1000) + 1
     silence_s = freshness.store_silence_s()
-    if silence_s is not None and 'age_ms' not in found:
-        found['outage_age_ms'] = int(silence_s * 1000) + 1
-    reached_s = freshness.reached_age_s()
-    if reached_s is not None and reached_s <= freshness_s:
-        found['reached'] = freshness.reached
-        found['reached_age_ms'] = int(reached_s * 1000) + 1
+    if silence_s is not None and 'age_ms' not in message:
+        message['outage_age_ms'] = int(silence_s * 1000) + 1
+    reached_age_s = freshness.reached_age_s()
+    if reached_age_s is not None and reached_age_s <= freshness_s:
+        message['reached'] = freshness.reached
+        message['reached_age_ms'] = int(reached_age_s * 1000) + 1
     if members_digest:
-        found['members_digest'] = members_digest
-    return found
+        message['members_digest'] = members_digest
+    return message
 
 
-def make_members(found: typing.Iterable[membership.Member]) -> link.Message:
+def make_members(members: typing.Iterable[membership.Member]) -> link.Message:
     """Return a message with members."""
     return {
         'type': 'members',
-        'members': [membership.to_message(member) for member in found],
+        'members': [membership.to_message(member) for member in members],
     }
 
 
-def make_listed(found: dict[str, membership.ListedState]) -> link.Message:
+def make_listed(entries: dict[str, membership.ListedState]) -> link.Message:
     """Return a message with entries of the platform's list of VMs."""
-    states = {name: entry._asdict() for name, entry in found.items()}
+    states = {name: entry._asdict() for name, entry in entries.items()}
     return {'type': 'listed', 'states': states}
--- a/gentianstair/peers/session.py
+++ b/gentianstair/peers/session.py
@@ -44,12 +44,16 @@
         self.peer_as_of_s = 0.0
         # Time of the newest survey count that both ends know.
         self.peer_reached_at_s = 0.0
+        # Digest of the peer's view, and since when it differs from ours.
         self.peer_digest = 0
         self.differing_since_s: float | None = None
+        # Consecutive heartbeats whose digest of the members differs from ours.
         self.members_mismatches = 0
         self.survey_answers: dict[str, trio.MemorySendChannel] = {}
+        # The peer's last timestamp and when it arrived here.
         self._last_stamp: tuple[int, float] | None = None
         self._objects: dict[tuple[str, str], store.StoredObject] = {}
+        # Answers whose last message must be marked as final.
         self._finals_due = 0
         self._messages: collections.deque[link.Message] = collections.deque()
         self._heartbeat_due = False
@@ -69,7 +73,7 @@
         self._wake.set()
 
     def queue(self, message: link.Message) -> None:
-        """Queue any other message."""
+        """Queue a message other than objects and heartbeats."""
         if len(self._messages) >= MAX_QUEUED_MESSAGES:
             # The peer sends but does not read, and the queue would grow
             # without bound.
@@ -85,8 +89,8 @@
 
     def drop_queued(self, item: store.StoredObject) -> None:
         """Drop an object from the queue that the peer itself has sent."""
-        waiting = self._objects.get((item.kind, item.name))
-        if waiting is not None and waiting.version <= item.version:
+        queued = self._objects.get((item.kind, item.name))
+        if queued is not None and queued.version <= item.version:
             del self._objects[(item.kind, item.name)]
 
     def record_heartbeat(
--- a/gentianstair/peers/store_watcher.py
+++ b/gentianstair/peers/store_watcher.py
@@ -17,6 +17,7 @@
 # Share of watch_s after which a watch counts as waited to its end; less than
 # 1 since the store's clock may run faster.
 FULL_WAIT_SHARE = 0.98
+# Bounds of the backoff after failed calls of the store.
 MIN_RETRY_S = 0.25
 MAX_RETRY_S = 4.0
 
@@ -67,9 +68,9 @@
         """
         try:
             if self._cursor is None:
-                found = await self._list()
+                result = await self._list()
             else:
-                found = await self._watch(self._cursor)
+                result = await self._watch(self._cursor)
         except errors.WatchTooOldError:
             self._cursor = None
             return [], None
@@ -81,7 +82,7 @@
             self._retry_s = min(2 * self._retry_s, MAX_RETRY_S)
             return [], None
         self._retry_s = MIN_RETRY_S
-        return found
+        return result
 
     async def _list(
         self,
@@ -90,22 +91,23 @@
         applied = []
         revisions = []
         for kind in view_module.KINDS:
-            found = await self._store.list(kind, purpose='config')
-            revisions.append(found.revision)
-            applied += self._view.apply(found.objects)
-            applied += self._view.apply(self._find_deleted(kind, found))
+            listing = await self._store.list(kind, purpose='config')
+            revisions.append(listing.revision)
+            applied += self._view.apply(listing.objects)
+            applied += self._view.apply(self._find_deleted(kind, listing))
         self._cursor = min(revisions)
         return applied, self._as_of_unless_stale(self._cursor, sent_s)
 
     def _find_deleted(
-        self, kind: str, found: store_module.Listing
+        self, kind: str, listing: store_module.Listing
     ) -> list[store_module.StoredObject]:
         """Return deletions of live objects that a listing lacks."""
-        listed_names = {item.name for item in found.objects}
+        listed_names = {item.name for item in listing.objects}
         return [
-            store_module.StoredObject(kind, item.name, found.revision, None)
+            store_module.StoredObject(kind, item.name, listing.revision, None)
             for item in self._view.live(kind)
-            if item.name not in listed_names and item.version < found.revision
+            if item.name not in listed_names
+            and item.version < listing.revision
         ]
 
     async def _watch(
@@ -113,19 +115,19 @@
     ) -> tuple[list[store_module.StoredObject], float | None]:
         await trio.sleep(self._pause_s)
         sent_s = self._clock()
-        found = await self._store.watch(
+        changes = await self._store.watch(
             view_module.KINDS, cursor, self._watch_s, purpose='config-watch'
         )
         as_of_s = sent_s
         waited_s = FULL_WAIT_SHARE * self._watch_s
-        if not found.objects and self._clock() - sent_s >= waited_s:
+        if not changes.objects and self._clock() - sent_s >= waited_s:
             # The store waited to the end of the watch before it reported no
             # change.
             as_of_s = sent_s + waited_s
-        confirmed_s = self._as_of_unless_stale(found.revision, as_of_s)
-        self._cursor = max(cursor, found.revision)
-        applied = self._view.apply(found.objects)
-        self._pause_s = COALESCE_PAUSE_S if found.objects else 0.0
+        confirmed_s = self._as_of_unless_stale(changes.revision, as_of_s)
+        self._cursor = max(cursor, changes.revision)
+        applied = self._view.apply(changes.objects)
+        self._pause_s = COALESCE_PAUSE_S if changes.objects else 0.0
         return applied, confirmed_s
 
     def _as_of_unless_stale(
@@ -148,12 +150,12 @@
 
 
 def to_stored_objects(
-    found: typing.Iterable[typing.Mapping[str, typing.Any]],
+    items: typing.Iterable[typing.Mapping[str, typing.Any]],
 ) -> list[store_module.StoredObject]:
     """Return the objects of a message as the store's type."""
     return [
         store_module.StoredObject(
             item['kind'], item['name'], item['version'], item['value']
         )
-        for item in found
+        for item in items
     ]
--- a/gentianstair/peers/summaries.py
+++ b/gentianstair/peers/summaries.py
@@ -35,10 +35,10 @@
 
         Raise DecodeError when it is larger than MAX_BODY_BYTES.
         """
-        size = len(cbor2.dumps(body))
-        if size > MAX_BODY_BYTES:
+        size_bytes = len(cbor2.dumps(body))
+        if size_bytes > MAX_BODY_BYTES:
             raise errors.DecodeError(
-                f'summary {topic!r} of {size} bytes is too large'
+                f'summary {topic!r} of {size_bytes} bytes is too large'
             )
         self._pending[topic] = body
         self._published.set()
--- a/gentianstair/peers/survey.py
+++ b/gentianstair/peers/survey.py
@@ -57,21 +57,21 @@
         """Answer a survey received on a link."""
         survey_id = survey['survey_id']
         if survey_id in self._seen:
-            found = Result(0, {})
+            result = Result(0, {})
         else:
             self._remember(survey_id)
             timeout_ms = min(survey['left_ms'], MAX_TIMEOUT_MS)
             timeout_s = max(0, timeout_ms) / 1000 * HOP_TIMEOUT_SHARE
             with_revisions = survey['revisions']
-            found = await self._flood(
+            result = await self._flood(
                 survey_id, timeout_s, with_revisions, requester
             )
         requester.queue(
             {
                 'type': 'survey_answer',
                 'survey_id': survey_id,
-                'reached': found.reached,
-                'revisions': found.revisions,
+                'reached': result.reached,
+                'revisions': result.revisions,
             }
         )
 
@@ -89,11 +89,11 @@
     ) -> Result:
         reached = 1
         revisions = {self._name: self._revision()} if with_revisions else {}
-        asked = [
+        forwarded_to = [
             session for session in self._sessions() if session is not requester
         ]
         send, receive = trio.open_memory_channel(math.inf)
-        for session in asked:
+        for session in forwarded_to:
             session.survey_answers[survey_id] = send
             session.queue(
                 {
@@ -104,27 +104,27 @@
                 }
             )
         with trio.move_on_after(timeout_s):
-            for _ in asked:
-                found = await receive.receive()
-                reached += found['reached']
-                revisions.update(found['revisions'])
-        for session in asked:
+            for _ in forwarded_to:
+                answer = await receive.receive()
+                reached += answer['reached']
+                revisions.update(answer['revisions'])
+        for session in forwarded_to:
             session.survey_answers.pop(survey_id, None)
         return Result(reached, revisions)
 
     @staticmethod
     def handle_answer(
-        source: session_module.Session, answer: messages.PeerSurveyAnswer
+        session: session_module.Session, answer: messages.PeerSurveyAnswer
     ) -> None:
         """Pass an answer to its survey, if that still waits."""
-        send = source.survey_answers.pop(answer['survey_id'], None)
+        send = session.survey_answers.pop(answer['survey_id'], None)
         if send is not None:
             send.send_nowait(answer)
 
 
-def answer_for_lost_link(source: session_module.Session) -> None:
+def answer_for_lost_link(session: session_module.Session) -> None:
     """Answer open surveys with zero for a link that was lost."""
-    answers = dict(source.survey_answers)
-    source.survey_answers.clear()
+    answers = dict(session.survey_answers)
+    session.survey_answers.clear()
     for send in answers.values():
         send.send_nowait(link.Message(reached=0, revisions={}))
--- a/gentianstair/peers/topology.py
+++ b/gentianstair/peers/topology.py
@@ -41,14 +41,14 @@
     >>> [len(level) for level in split_levels(map(str, range(300)), 3, 6)]
     [3, 18, 108, 171]
     """
-    order = sorted(names, key=lambda name: (_hash(name), name))
-    found = []
+    remaining = sorted(names, key=lambda name: (_hash(name), name))
+    levels = []
     size = watchers
-    while order:
-        found.append(order[:size])
-        order = order[size:]
+    while remaining:
+        levels.append(remaining[:size])
+        remaining = remaining[size:]
         size *= fanout
-    return found
+    return levels
 
 
 def _rendezvous_order(
@@ -65,12 +65,12 @@
     levels_by_domain: typing.Mapping[str, list[list[str]]],
 ) -> list[str]:
     """Return watchers of the same rank in other failure domains."""
-    found = [
+    watchers = [
         levels[0][rank]
         for other, levels in sorted(levels_by_domain.items())
         if other != domain and rank < len(levels[0])
     ]
-    return _rendezvous_order(name, found)[:MAX_CROSS_DOMAIN_LINKS]
+    return _rendezvous_order(name, watchers)[:MAX_CROSS_DOMAIN_LINKS]
 
 
 def find_position(
@@ -88,23 +88,27 @@
     own_domain = domains[name]
     levels_by_domain: dict[str, list[list[str]]] = {}
     for domain in sorted(set(domains.values())):
-        names = [vm for vm, where in domains.items() if where == domain]
+        names = [
+            vm for vm, vm_domain in domains.items() if vm_domain == domain
+        ]
         levels_by_domain[domain] = split_levels(names, watchers, fanout)
     own_levels = levels_by_domain[own_domain]
     level = next(i for i, names in enumerate(own_levels) if name in names)
     rank = own_levels[level].index(name)
     if level == 0:
-        watcher_peers = [vm for vm in own_levels[0] if vm != name]
-        wanted = watcher_peers + _cross_domain_watchers(
+        other_watchers = [vm for vm in own_levels[0] if vm != name]
+        candidates = other_watchers + _cross_domain_watchers(
             name, rank, own_domain, levels_by_domain
         )
-        dial = [vm for vm in wanted if vm not in unreachable]
+        dial = [vm for vm in candidates if vm not in unreachable]
         return Position(level, rank, tuple(dial))
     parents = _rendezvous_order(name, own_levels[level - 1])
     dial = [vm for vm in parents if vm not in unreachable][:MAX_PARENTS]
     # One link to another failure domain keeps the node up to date when all
     # watchers of its own are lost.
-    others = [vm for vm, where in domains.items() if where != own_domain]
+    others = [
+        vm for vm, vm_domain in domains.items() if vm_domain != own_domain
+    ]
     if others:
         reachable = [vm for vm in others if vm not in unreachable]
         dial += _rendezvous_order(name, reachable)[:1]
--- a/test/peers/fleet.py
+++ b/test/peers/fleet.py
@@ -53,14 +53,14 @@
     def start(self, name, domain='a'):
         """Start a VM, also as a new incarnation of a killed one."""
         address = f'{name}:1'
-        given = {
+        flags = {
             'vm_name': name,
             'failure_domain': domain,
             'platform_url': 'http://127.0.0.1:1',
             'peer_listen': address,
             **{key: str(value) for key, value in self.settings.items()},
         }
-        values = settings_module.collect(generated.ENTRY, given, {})
+        values = settings_module.collect(generated.ENTRY, flags, {})
         view = view_module.View()
         store = memory_store.MemoryStore(self.table)
         node = node_module.make_node(
@@ -81,9 +81,9 @@
         with scope:
             await node.run()
 
-    def start_many(self, number, domains=3):
+    def start_many(self, count, domains=3):
         """Start VMs named v0, v1, ... spread over failure domains."""
-        for index in range(number):
+        for index in range(count):
             self.start(f'v{index}', 'abcdefghij'[index % domains])
 
     def kill(self, name):
@@ -93,9 +93,9 @@
     def write(self, kind, name, value):
         """Write an object to the store."""
         version = self.versions.get((kind, name), 0)
-        made = self.table.write(kind, name, value, version)
-        self.versions[(kind, name)] = made if value is not None else 0
-        return made
+        new_version = self.table.write(kind, name, value, version)
+        self.versions[(kind, name)] = new_version if value is not None else 0
+        return new_version
 
     def select(self, names=None):
         """Return the running nodes with these names, or all."""
@@ -120,19 +120,19 @@
 
 
 @contextlib.asynccontextmanager
-async def open_fleet(number, domains=3, **settings):
+async def open_fleet(count, domains=3, **settings):
     """Yield a fleet whose nodes are all fresh."""
     async with trio.open_nursery() as nursery:
         fleet = Fleet(nursery, **settings)
         fleet.write('customer', 'acme', CUSTOMER)
         fleet.write('key', 'k1', key())
-        fleet.start_many(number, domains)
+        fleet.start_many(count, domains)
         await fleet.wait(lambda vm: vm.node.is_fresh())
         # Members known only from the list of VMs have incarnation 0.
         await fleet.wait(
             lambda vm: (
                 vm.node.link_count() > 0
-                and sum(m.incarnation > 0 for m in vm.node.members()) == number
+                and sum(m.incarnation > 0 for m in vm.node.members()) == count
             )
         )
         yield fleet
@@ -155,5 +155,9 @@
 
 def accepts(vm, digest='k1'):
     """Say whether a node would run a request that carries the key."""
-    found = vm.view.key(digest)
-    return vm.node.is_fresh() and found is not None and not found['revoked']
+    caller_key = vm.view.key(digest)
+    return (
+        vm.node.is_fresh()
+        and caller_key is not None
+        and not caller_key['revoked']
+    )
--- a/test/peers/test_freshness.py
+++ b/test/peers/test_freshness.py
@@ -29,6 +29,20 @@
         (None, None, 98.0, 8, 8, False),
         (None, 39.0, 98.0, 8, 8, False),
     ],
+    ids=[
+        'recent view',
+        'old view',
+        'no view',
+        'majority',
+        'half',
+        'minority',
+        'single VM',
+        'old count',
+        'long outage',
+        'started in outage',
+        'no view of any peer',
+        'started in long outage',
+    ],
 )
 def test_stale_minority_is_not_fresh(
     as_of_s, peer_as_of_s, reached_at_s, reached, voters, fresh
--- a/test/peers/test_link.py
+++ b/test/peers/test_link.py
@@ -24,14 +24,14 @@
     return value
 
 
-def make_settings(**given):
-    base = {
+def make_settings(**flags):
+    defaults = {
         'vm_name': 'v',
         'failure_domain': 'a',
         'platform_url': 'http://127.0.0.1:1',
         'peer_listen': '127.0.0.1:0',
     }
-    values = settings_module.collect(generated.ENTRY, base | given, {})
+    values = settings_module.collect(generated.ENTRY, defaults | flags, {})
     return generated.EntrySettings(**values)
 
 
@@ -55,6 +55,17 @@
         b'\x9f' * 1000,
         b'x' * (link.MAX_MESSAGE_BYTES + 1),
     ],
+    ids=[
+        'empty',
+        'not CBOR',
+        'not a map',
+        'type not a text',
+        'field of a wrong type',
+        'missing fields',
+        'nested too deeply',
+        'indefinite length',
+        'too large',
+    ],
 )
 def test_invalid_messages_are_refused(data):
     with pytest.raises(errors.DecodeError):
@@ -62,20 +73,21 @@
 
 
 @pytest.mark.parametrize(
-    'given, allowed',
+    'flags, allowed',
     [
         ({}, True),
         ({'peer_listen': '0.0.0.0:0'}, False),
         ({'peer_listen': '0.0.0.0:0', 'insecure_plain': 'true'}, True),
         ({'peer_tls_cert_file': '/nonexistent'}, False),
     ],
+    ids=['loopback', 'plain', 'insecure_plain', 'missing TLS file'],
 )
-def test_plain_links_need_loopback_or_insecure_plain(given, allowed):
+def test_plain_links_need_loopback_or_insecure_plain(flags, allowed):
     if allowed:
-        link.make_network(make_settings(**given))
+        link.make_network(make_settings(**flags))
         return
     with pytest.raises(errors.SettingsError):
-        link.make_network(make_settings(**given))
+        link.make_network(make_settings(**flags))
 
 
 async def exchange(server, client):
@@ -179,10 +191,10 @@
     strategies.integers(0, 60),
     strategies.integers(0, 255),
 )
-def test_any_message_decodes_or_is_refused(name, fields, place, byte):
+def test_any_message_decodes_or_is_refused(name, fields, offset, byte):
     data = bytearray(cbor2.dumps({'version': 1, 'type': name, **fields}))
     try_decode(bytes(data))
-    data[place % len(data)] = byte
+    data[offset % len(data)] = byte
     try_decode(bytes(data))
 
 
--- a/test/peers/test_node.py
+++ b/test/peers/test_node.py
@@ -19,12 +19,16 @@
         revision = fleet.write('key', 'k2', fleet_module.key())
         took_s = await fleet.wait(lambda vm: vm.view.revision >= revision)
         assert took_s < 1.0
-        found = await fleet.running['v3'].node.confirmed_revisions()
-        assert found == {f'v{i}': revision for i in range(12)}
+        revisions = await fleet.running['v3'].node.confirmed_revisions()
+        assert revisions == {f'v{i}': revision for i in range(12)}
 
 
 @pytest.mark.promise
-@pytest.mark.parametrize('cut_off', [[], ['v0'], ['v0', 'v1', 'v2', 'v3']])
+@pytest.mark.parametrize(
+    'cut_off',
+    [[], ['v0'], ['v0', 'v1', 'v2', 'v3']],
+    ids=['none cut off', 'one cut off', 'half cut off'],
+)
 async def test_revoked_key_stops_within_seconds(autojump_clock, cut_off):
     """A VM that is cut off keeps accepting a revoked key.
 
@@ -113,18 +117,21 @@
     async with fleet_module.open_fleet(9) as fleet:
         fleet.set_store_down(True)
         await trio.sleep(30.0)
-        away = ['v0', 'v3', 'v6']
-        rest = [name for name in fleet.running if name not in away]
+        minority = ['v0', 'v3', 'v6']
+        majority = [name for name in fleet.running if name not in minority]
         fleet.hub.split(
-            [f'{name}:1' for name in away], [f'{name}:1' for name in rest]
+            [f'{name}:1' for name in minority],
+            [f'{name}:1' for name in majority],
         )
         await fleet.wait(
-            lambda vm: not vm.node.is_fresh(), REVOCATION_LIMIT_S, names=away
+            lambda vm: not vm.node.is_fresh(),
+            REVOCATION_LIMIT_S,
+            names=minority,
         )
         for _ in range(120):
             await trio.sleep(1.0)
-            assert not any(vm.node.is_fresh() for vm in fleet.select(away))
-            assert all(vm.node.is_fresh() for vm in fleet.select(rest))
+            assert not any(vm.node.is_fresh() for vm in fleet.select(minority))
+            assert all(vm.node.is_fresh() for vm in fleet.select(majority))
 
 
 async def test_one_way_cut_does_not_change_status(autojump_clock):
@@ -188,21 +195,21 @@
 async def test_newest_summary_reaches_all_and_is_not_resent(autojump_clock):
     """VMs share limits by outdated summaries, or resend unchanged ones."""
     async with fleet_module.open_fleet(6) as fleet:
-        heard = {}
+        received = {}
         for name, vm in fleet.running.items():
-            seen = heard.setdefault(name, {})
+            seen = received.setdefault(name, {})
             vm.node.subscribe('load', seen.__setitem__)
         for value in range(5):
             fleet.running['v0'].node.publish('load', {'value': value})
             await trio.sleep(0.1)
         await trio.sleep(2.0)
-        assert heard.pop('v0') == {}
-        assert all(seen == {'v0': {'value': 4}} for seen in heard.values())
-        sent = fleet.hub.bytes_sent
+        assert received.pop('v0') == {}
+        assert all(seen == {'v0': {'value': 4}} for seen in received.values())
+        bytes_before = fleet.hub.bytes_sent
         fleet.running['v0'].node.publish('load', {'value': 4})
         unchanged = fleet.running['v0'].node._summaries.take_due()
         assert unchanged == [], 'an unchanged summary was sent again'
-        assert fleet.hub.bytes_sent == sent
+        assert fleet.hub.bytes_sent == bytes_before
         with pytest.raises(errors.DecodeError):
             fleet.running['v0'].node.publish('load', {'value': 'x' * 5000})
 
--- a/test/peers/test_store_watcher.py
+++ b/test/peers/test_store_watcher.py
@@ -34,11 +34,11 @@
 
 
 def copy_table(table):
-    made = objects.ObjectTable()
-    made.revision = table.revision
-    made.objects = dict(table.objects)
-    made.changes = list(table.changes)
-    return made
+    copy = objects.ObjectTable()
+    copy.revision = table.revision
+    copy.objects = dict(table.objects)
+    copy.changes = list(table.changes)
+    return copy
 
 
 def bundle(number):
@@ -71,12 +71,15 @@
 
         def check():
             for name, vm in fleet.running.items():
-                found = vm.view.bundle()
-                if not vm.node.is_fresh() or found is None:
+                served_bundle = vm.view.bundle()
+                if not vm.node.is_fresh() or served_bundle is None:
                     continue
-                assert found['note'] == f'content {found["number"]}'
-                assert found['number'] >= served.get(name, 0)
-                served[name] = found['number']
+                assert (
+                    served_bundle['note']
+                    == f'content {served_bundle["number"]}'
+                )
+                assert served_bundle['number'] >= served.get(name, 0)
+                served[name] = served_bundle['number']
 
         accept(fleet, next(numbers))
         for _ in range(40):
@@ -111,11 +114,11 @@
 
 def make_watcher(table):
     view = view_module.View()
-    stale = StaleStore(table)
+    stale_store = StaleStore(table)
     watcher = store_watcher.Watcher(
-        view, stale, clock.trio_time_s, 2.0, random.Random(1)
+        view, stale_store, clock.trio_time_s, 2.0, random.Random(1)
     )
-    return view, stale, watcher
+    return view, stale_store, watcher
 
 
 @pytest.mark.promise
@@ -127,19 +130,19 @@
     """
     table = objects.ObjectTable()
     first = table.write('key', 'k1', fleet_module.key(), 0)
-    view, stale, watcher = make_watcher(table)
+    view, stale_store, watcher = make_watcher(table)
     assert (await watcher.step())[1] is not None
-    stale.stale_table = copy_table(table)
+    stale_store.stale_table = copy_table(table)
     table.write('key', 'k1', fleet_module.key(revoked=True), first)
-    stale.stale_table, old = None, stale.stale_table
+    stale_store.stale_table, old_table = None, stale_store.stale_table
     await watcher.step()
     assert view.key('k1')['revoked']
-    stale.stale_table = old
+    stale_store.stale_table = old_table
     for restarted in (False, True):
         if restarted:
             watcher._cursor = None
-        taken, as_of_s = await watcher.step()
-        assert taken == [] and as_of_s is None
+        applied, as_of_s = await watcher.step()
+        assert applied == [] and as_of_s is None
         assert view.key('k1')['revoked']
 
 
--- a/test/peers/test_topology.py
+++ b/test/peers/test_topology.py
@@ -26,19 +26,19 @@
 )
 def test_links_are_bounded_and_connect_all_vms(number, domains):
     """A VM's links grow with the fleet, or part of it is unreachable."""
-    found = find_dialed(make_domains(number, domains))
+    dialed = find_dialed(make_domains(number, domains))
     links = collections.defaultdict(set)
-    for name, wanted in found.items():
-        for other in wanted:
+    for name, peers in dialed.items():
+        for other in peers:
             links[name].add(other)
             links[other].add(name)
-    most = max((len(peers) for peers in links.values()), default=0)
-    assert most <= 32
-    reached, todo = {'vm-0'}, ['vm-0']
-    while todo:
-        new = links[todo.pop()] - reached
-        reached |= new
-        todo += new
+    max_links = max((len(linked) for linked in links.values()), default=0)
+    assert max_links <= 32
+    reached, queue = {'vm-0'}, ['vm-0']
+    while queue:
+        unvisited = links[queue.pop()] - reached
+        reached |= unvisited
+        queue += unvisited
     assert len(reached) == number
 
 
@@ -49,8 +49,8 @@
     before = find_dialed(domains)
     del domains[lost]
     after = find_dialed(domains)
-    moved = [name for name in after if after[name] != before[name]]
-    assert len(moved) <= 40
+    changed = [name for name in after if after[name] != before[name]]
+    assert len(changed) <= 40
 
 
 def test_unreachable_parent_is_replaced_by_another():
