--- a/gentianstair/bench/retry.py
+++ b/gentianstair/bench/retry.py
@@ -19,7 +19,7 @@
 from gentianstair import verdict as verdicts
 from gentianstair.bench import lines
 from gentianstair.entry import admission
-from gentianstair.entry import retries
+from gentianstair.entry import retry_policy
 from gentianstair.entry import work as works
 
 ARMS = ('budget', 'at_once', 'bare')
@@ -116,7 +116,7 @@
             Upstream(f'u{number}', random.Random(f'{seed} {number}'))
             for number in range(UPSTREAMS)
         ]
-        self.policy = retries.make_retries(seed)
+        self.policy = retry_policy.make_retry_policy(seed)
         names = {upstream.name for upstream in self.upstreams}
         self.policy.ejector.set_upstreams(names)
         self.queue = admission.make_queue(record=lambda decision: None)
@@ -182,7 +182,7 @@
             counts[int(trio.current_time())] += 1
             upstream = self._choose()
             if attempt == 1:
-                self.policy.budget.fresh(work.customer, upstream.name)
+                self.policy.budget.record_request(work.customer, upstream.name)
             try:
                 await self._try(upstream, nursery)
                 return
@@ -215,7 +215,7 @@
                 raise error
             return
         left_s = work.deadline_s - trio.current_time()
-        choice = self.policy.choose(
+        choice = self.policy.decide(
             error, work.customer, upstream.name, attempt, True, left_s
         )
         if not choice.retry:
--- a/gentianstair/entry/attempts.py
+++ b/gentianstair/entry/attempts.py
@@ -167,7 +167,7 @@
             raise _none_left(verdict)
         made += 1
         if made == 1:
-            node.retries.budget.fresh(customer, choice.upstream)
+            node.retries.budget.record_request(customer, choice.upstream)
         _explain(node, request, 'route', **choice._asdict())
         in_use.add(choice.upstream)
         try:
@@ -175,7 +175,7 @@
         except errors.UpstreamError as error:
             verdict = verdicts.combine(verdict, error.verdict)
             failed.add(choice.upstream)
-            again = node.retries.choose(
+            again = node.retries.decide(
                 error,
                 customer,
                 choice.upstream,
--- a/gentianstair/entry/main.py
+++ b/gentianstair/entry/main.py
@@ -21,7 +21,7 @@
 from gentianstair.entry import explain
 from gentianstair.entry import limits
 from gentianstair.entry import node as nodes
-from gentianstair.entry import retries
+from gentianstair.entry import retry_policy
 from gentianstair.entry import routing
 from gentianstair.entry import sharing
 from gentianstair.entry import upkeep
@@ -93,7 +93,7 @@
         router=routing.make_router(
             config.vm_name, config.failure_domain, split=True
         ),
-        retries=retries.make_retries(),
+        retries=retry_policy.make_retry_policy(),
         claims=claims.make_claims(
             store,
             config.vm_name,
--- a/gentianstair/entry/node.py
+++ b/gentianstair/entry/node.py
@@ -9,7 +9,7 @@
 from gentianstair.entry import claims as claimses
 from gentianstair.entry import explain
 from gentianstair.entry import limits
-from gentianstair.entry import retries
+from gentianstair.entry import retry_policy
 from gentianstair.entry import routing
 from gentianstair.entry import usage as usages
 from gentianstair.generated import settings
@@ -33,7 +33,7 @@
     freshness: Freshness
     queue: admission.Queue
     router: routing.Router
-    retries: retries.Retries
+    retries: retry_policy.RetryPolicy
     claims: claimses.Claims
     limits: limits.Limits
     usage: usages.Usage
--- a/gentianstair/entry/retries.py
+++ b/gentianstair/entry/retry_policy.py
@@ -10,18 +10,18 @@
 from gentianstair.core import ejection
 
 # Retries and hedges together are at most this share of fresh requests.
-RETRY_SHARE = 0.08
+RETRY_RATIO = 0.08
 # Saved-up retries: enough for a single replica's loss, and few enough that
 # an outage's end is not met by a wave.
-MOST_SAVED = 10.0
-FIRST_SAVED = 3.0
-FIRST_BACKOFF_S = 0.05
-LONGEST_BACKOFF_S = 5.0
-MOST_ATTEMPTS = 4
+MAX_RETRY_TOKENS = 10.0
+INITIAL_RETRY_TOKENS = 3.0
+BASE_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 5.0
+MAX_ATTEMPTS = 4
 # A look-up is hedged once it took longer than this share of the others.
 HEDGE_QUANTILE = 0.95
-HEDGE_KEPT = 200
-HEDGE_LEAST_KNOWN = 20
+HEDGE_MAX_SAMPLES = 200
+HEDGE_MIN_SAMPLES = 20
 
 
 class _Bucket:
@@ -30,13 +30,13 @@
     __slots__ = ('saved',)
 
     def __init__(self) -> None:
-        self.saved = FIRST_SAVED
+        self.saved = INITIAL_RETRY_TOKENS
 
     def earn(self) -> None:
-        self.saved = min(MOST_SAVED, self.saved + RETRY_SHARE)
+        self.saved = min(MAX_RETRY_TOKENS, self.saved + RETRY_RATIO)
 
 
-class Budget:
+class RetryBudget:
     """Hold retries to a share of fresh traffic.
 
     A retry is paid by the customer's bucket and by the bucket of the
@@ -55,12 +55,12 @@
             self._upstreams.setdefault(upstream, _Bucket()),
         )
 
-    def fresh(self, customer: str, upstream: str) -> None:
+    def record_request(self, customer: str, upstream: str) -> None:
         """Count a first try; call it once a request."""
         for bucket in self._buckets(customer, upstream):
             bucket.earn()
 
-    def allow(self, customer: str, upstream: str) -> bool:
+    def try_spend(self, customer: str, upstream: str) -> bool:
         """Pay for one more try after one at upstream; False if too dear."""
         buckets = self._buckets(customer, upstream)
         if min(bucket.saved for bucket in buckets) < 1.0:
@@ -69,21 +69,21 @@
             bucket.saved -= 1.0
         return True
 
-    def forget(self, upstream: str) -> None:
+    def remove_upstream(self, upstream: str) -> None:
         """Drop the bucket of an upstream that left."""
         self._upstreams.pop(upstream, None)
 
 
-class Hedges:
+class HedgeDelays:
     """Learn when a second copy of an idempotent look-up pays."""
 
     def __init__(self) -> None:
         self._kept: dict[str, collections.deque[float]] = {}
 
-    def report(self, service: str, latency_s: float) -> None:
+    def record_latency(self, service: str, latency_s: float) -> None:
         """Take the latency of a finished look-up."""
         kept = self._kept.setdefault(
-            service, collections.deque(maxlen=HEDGE_KEPT)
+            service, collections.deque(maxlen=HEDGE_MAX_SAMPLES)
         )
         kept.append(latency_s)
 
@@ -94,7 +94,7 @@
         would cost an engine twice, the second would run twice.
         """
         kept = self._kept.get(service)
-        if not idempotent or kept is None or len(kept) < HEDGE_LEAST_KNOWN:
+        if not idempotent or kept is None or len(kept) < HEDGE_MIN_SAMPLES:
             return None
         ordered: list[float] = []
         for latency_s in kept:
@@ -102,7 +102,7 @@
         return ordered[int(HEDGE_QUANTILE * (len(ordered) - 1))]
 
 
-class Choice(typing.NamedTuple):
+class RetryDecision(typing.NamedTuple):
     """Whether to try again, when, and why; kept for ``explain``."""
 
     retry: bool
@@ -112,13 +112,13 @@
     verdict: str
 
 
-class Retries:
+class RetryPolicy:
     """The policy on repeated tries of one entry process."""
 
     def __init__(self, seed: int = 0) -> None:
         self._random = random.Random(seed)
-        self.budget = Budget()
-        self.hedges = Hedges()
+        self.budget = RetryBudget()
+        self.hedge_delays = HedgeDelays()
         self.ejector = ejection.Ejector(seed)
 
     def backoff_s(self, attempt: int) -> float:
@@ -126,10 +126,10 @@
 
         Full jitter: callers that failed together do not return together.
         """
-        most_s = min(LONGEST_BACKOFF_S, FIRST_BACKOFF_S * 2.0**attempt)
+        most_s = min(MAX_BACKOFF_S, BASE_BACKOFF_S * 2.0**attempt)
         return self._random.uniform(0.0, most_s)
 
-    def choose(
+    def decide(
         self,
         error: errors.UpstreamError,
         customer: str,
@@ -137,7 +137,7 @@
         attempt: int,
         repeatable: bool,
         left_s: float,
-    ) -> Choice:
+    ) -> RetryDecision:
         """Return whether to try again after error on the given upstream.
 
         attempt counts the tries made. An unrepeatable request is tried
@@ -148,16 +148,18 @@
         reason = 'allowed'
         if not repeatable and not not_run:
             reason = 'may-have-run'
-        elif attempt >= MOST_ATTEMPTS:
+        elif attempt >= MAX_ATTEMPTS:
             reason = 'attempts'
         elif wait_s >= left_s:
             reason = 'deadline'
-        elif not self.budget.allow(customer, upstream):
+        elif not self.budget.try_spend(customer, upstream):
             reason = 'budget'
         retry = reason == 'allowed'
-        return Choice(retry, wait_s, reason, attempt, error.verdict.name)
+        return RetryDecision(
+            retry, wait_s, reason, attempt, error.verdict.name
+        )
 
 
-def make_retries(seed: int = 0) -> Retries:
+def make_retry_policy(seed: int = 0) -> RetryPolicy:
     """Return the policy of one entry process."""
-    return Retries(seed)
+    return RetryPolicy(seed)
--- a/gentianstair/entry/services.py
+++ b/gentianstair/entry/services.py
@@ -308,7 +308,7 @@
 
     The first answer counts and ends the other copy.
     """
-    delay_s = node.retries.hedges.delay_s(call.service, call.repeatable)
+    delay_s = node.retries.hedge_delays.delay_s(call.service, call.repeatable)
     if delay_s is None:
         return await _once(node, request, call, None)
     trying: set[str] = set()
@@ -333,7 +333,7 @@
         if (
             first
             and not settled
-            and node.retries.budget.allow(customer, first)
+            and node.retries.budget.try_spend(customer, first)
         ):
             HEDGES.labels(call.service).inc()
             nursery.start_soon(copy, nursery.cancel_scope)
@@ -355,5 +355,7 @@
         return await _once(node, request, call, None)
     started_s = node.clock()
     reply = await _hedged(node, request, call)
-    node.retries.hedges.report(call.service, node.clock() - started_s)
+    node.retries.hedge_delays.record_latency(
+        call.service, node.clock() - started_s
+    )
     return reply
--- a/gentianstair/entry/sharing.py
+++ b/gentianstair/entry/sharing.py
@@ -14,20 +14,20 @@
 from gentianstair.peers import membership
 from gentianstair.peers import node as peers
 
-FAIRNESS = 'fairness'
-LIMITS = 'limits'
+FAIRNESS_TOPIC = 'fairness'
+LIMITS_TOPIC = 'limits'
 # Rows of one summary and of the one before, together below the peers' limit
 # of a message; with more customers the rows take turns.
 MAX_ROWS = 15
 
-DROPPED = prometheus_client.Counter(
+DROPPED_SUMMARIES = prometheus_client.Counter(
     'gentianstair_summaries_dropped', 'Summaries that no schema matches'
 )
 
 Summary = dict[str, typing.Any]
 
 
-class Rows:
+class RowRepeater:
     """The rows of the last two summaries.
 
     A peer takes just the newest summary of a topic, with each heartbeat.
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self._last: dict[tuple, Summary] = {}
 
-    def add(self, summary: Summary) -> Summary:
+    def add_previous(self, summary: Summary) -> Summary:
         """Return the summary with the rows of the one before beside it."""
         rows = {
             (row.get('model'), row['customer']): row for row in summary['rows']
@@ -48,7 +48,7 @@
         return {**summary, 'rows': list(both.values())}
 
 
-def checked(
+def validated(
     kind: type, merge: collections.abc.Callable[[str, typing.Any], None]
 ) -> collections.abc.Callable[[str, Summary], None]:
     """Return merge for summaries that match the schema; drop others.
@@ -61,7 +61,7 @@
         try:
             found = msgspec.convert(summary, kind)
         except msgspec.ValidationError as error:
-            DROPPED.inc()
+            DROPPED_SUMMARIES.inc()
             loguru.logger.debug('summary of {} dropped: {}', vm, error)
             return
         merge(vm, found)
@@ -81,13 +81,13 @@
 async def run(node: nodes.Node, peer: peers.Node) -> None:
     """Publish summaries and take those of other VMs, until cancelled."""
     sources = {
-        FAIRNESS: (node.queue, Rows()),
-        LIMITS: (node.limits, Rows()),
+        FAIRNESS_TOPIC: (node.queue, RowRepeater()),
+        LIMITS_TOPIC: (node.limits, RowRepeater()),
     }
-    fairness = checked(messages.FairnessSummary, node.queue.merge)
-    limits = checked(messages.LimitsSummary, node.limits.merge)
-    peer.subscribe(FAIRNESS, fairness)
-    peer.subscribe(LIMITS, limits)
+    fairness = validated(messages.FairnessSummary, node.queue.merge)
+    limits = validated(messages.LimitsSummary, node.limits.merge)
+    peer.subscribe(FAIRNESS_TOPIC, fairness)
+    peer.subscribe(LIMITS_TOPIC, limits)
     while True:
         live = _live(peer)
         for topic, (source, rows) in sources.items():
@@ -96,7 +96,7 @@
             if summary is None:
                 continue
             try:
-                peer.publish(topic, rows.add(summary))
+                peer.publish(topic, rows.add_previous(summary))
             except errors.DecodeError as error:
                 loguru.logger.warning('summary not sent: {}', error)
         # Limits hold as long as a summary is delivered before the next one
--- a/test/entry/test_hedging.py
+++ b/test/entry/test_hedging.py
@@ -12,7 +12,7 @@
 from gentianstair.entry import callers
 from gentianstair.entry import explain
 from gentianstair.entry import request as requests
-from gentianstair.entry import retries
+from gentianstair.entry import retry_policy
 from gentianstair.entry import routing
 from gentianstair.entry import services
 from gentianstair.entry import work
@@ -34,7 +34,7 @@
 
     view: View
     router: routing.Router
-    retries: retries.Retries
+    retries: retry_policy.RetryPolicy
     explanations: explain.Explanations
     clock: typing.Callable[[], float] = trio.current_time
 
@@ -48,11 +48,11 @@
     router.set_upstreams(
         [routing.UpstreamInfo(n, 'north', ('stock',)) for n in NAMES]
     )
-    found = retries.make_retries()
+    found = retry_policy.make_retry_policy()
     for _ in range(50):
-        found.hedges.report('stock', USUAL_S)
-        found.budget.fresh('c', 's1')
-        found.budget.fresh('c', 's2')
+        found.hedge_delays.record_latency('stock', USUAL_S)
+        found.budget.record_request('c', 's1')
+        found.budget.record_request('c', 's2')
     return FakeNode(View(), router, found, explain.make_explanations())
 
 
@@ -106,7 +106,7 @@
         raise errors.UpstreamError('lost', verdicts[tried.name == 's2'])
 
     monkeypatch.setattr(services.Relay, 'attempt', attempt)
-    monkeypatch.setattr(retries, 'MOST_ATTEMPTS', 1)
+    monkeypatch.setattr(retry_policy, 'MAX_ATTEMPTS', 1)
     call = services.Call('stock', '/a', 'GET', [], b'', None)
     caller = callers.Caller('c', 'digest')
     item = work.Work('r', 'c', 'stock', 1, 1, 1e6)
--- a/test/entry/test_retries.py
+++ b/test/entry/test_retry_policy.py
@@ -5,7 +5,7 @@
 from gentianstair import errors
 from gentianstair import verdict
 from gentianstair.core import ejection
-from gentianstair.entry import retries
+from gentianstair.entry import retry_policy
 
 NOT_RUN = verdict.Verdict.NOT_RUN
 MAY = verdict.Verdict.MAY_HAVE_RUN
@@ -20,14 +20,14 @@
         # A registration that may have run is never sent again.
         (MAY, False, 1, 9.0, 'may-have-run'),
         (verdict.Verdict.RAN, False, 1, 9.0, 'may-have-run'),
-        (NOT_RUN, True, retries.MOST_ATTEMPTS, 9.0, 'attempts'),
+        (NOT_RUN, True, retry_policy.MAX_ATTEMPTS, 9.0, 'attempts'),
         (NOT_RUN, True, 1, 0.0, 'deadline'),
     ],
 )
 def test_choice(found, repeatable, attempt, left_s, reason):
-    policy = retries.make_retries(1)
+    policy = retry_policy.make_retry_policy(1)
     error = errors.UpstreamError('x', found)
-    choice = policy.choose(error, 'c', 'u', attempt, repeatable, left_s)
+    choice = policy.decide(error, 'c', 'u', attempt, repeatable, left_s)
     assert choice.reason == reason
 
 
@@ -36,21 +36,24 @@
     # Every try fails for long. With a fixed number of retries a request,
     # the load stays multiplied for as long as the outage and its backlog
     # last, which can be for ever.
-    budget = retries.Budget()
+    budget = retry_policy.RetryBudget()
     allowed = 0
     for number in range(10000):
         customer, upstream = f'c{number % 3}', f'u{number % 7}'
-        budget.fresh(customer, upstream)
+        budget.record_request(customer, upstream)
         for _ in range(4):
-            allowed += budget.allow(customer, upstream)
-    assert allowed <= 10000 * retries.RETRY_SHARE + 7 * retries.MOST_SAVED
+            allowed += budget.try_spend(customer, upstream)
+    assert (
+        allowed
+        <= 10000 * retry_policy.RETRY_RATIO + 7 * retry_policy.MAX_RETRY_TOKENS
+    )
 
 
 def test_backoff_is_jittered_and_bounded():
-    policy = retries.make_retries(1)
+    policy = retry_policy.make_retry_policy(1)
     waits = [policy.backoff_s(attempt) for attempt in range(20)]
     assert len(set(waits)) == len(waits)
-    assert all(0 <= wait <= retries.LONGEST_BACKOFF_S for wait in waits)
+    assert all(0 <= wait <= retry_policy.MAX_BACKOFF_S for wait in waits)
 
 
 @pytest.mark.parametrize(
@@ -58,9 +61,9 @@
     [(True, 100, True), (True, 5, False), (False, 100, False)],
 )
 def test_only_known_idempotent_calls_are_hedged(idempotent, known, hedged):
-    hedges = retries.Hedges()
+    hedges = retry_policy.HedgeDelays()
     for number in range(known):
-        hedges.report('stock', 0.01 if number % 20 else 1.0)
+        hedges.record_latency('stock', 0.01 if number % 20 else 1.0)
     delay_s = hedges.delay_s('stock', idempotent)
     assert (delay_s is not None) == hedged
 
--- a/test/entry/test_sharing.py
+++ b/test/entry/test_sharing.py
@@ -27,19 +27,19 @@
     # closed the link to the one that had only passed it on.
     if part == 'queue':
         merge = admission.make_queue().merge
-        take = sharing.checked(messages.FairnessSummary, merge)
+        take = sharing.validated(messages.FairnessSummary, merge)
     else:
         made = limits.make_limits('vm-1', lambda name: limits.CustomerLimits())
-        take = sharing.checked(messages.LimitsSummary, made.merge)
-    before = sharing.DROPPED._value.get()
+        take = sharing.validated(messages.LimitsSummary, made.merge)
+    before = sharing.DROPPED_SUMMARIES._value.get()
     take('vm-2', summary)
-    assert sharing.DROPPED._value.get() == before + 1
+    assert sharing.DROPPED_SUMMARIES._value.get() == before + 1
 
 
 def test_a_row_that_changed_once_is_sent_twice():
-    rows = sharing.Rows()
+    rows = sharing.RowRepeater()
     one = {'customer': 'a', 'running': 1}
-    first = rows.add({**GOOD, 'rows': [one]})
-    second = rows.add({**GOOD, 'rows': []})
-    third = rows.add({**GOOD, 'rows': []})
+    first = rows.add_previous({**GOOD, 'rows': [one]})
+    second = rows.add_previous({**GOOD, 'rows': []})
+    third = rows.add_previous({**GOOD, 'rows': []})
     assert [len(s['rows']) for s in (first, second, third)] == [1, 1, 0]
--- a/test/entry/test_twins.py
+++ b/test/entry/test_twins.py
@@ -9,7 +9,7 @@
 from gentianstair import verdict
 from gentianstair.bench import twins
 from gentianstair.entry import admission
-from gentianstair.entry import retries
+from gentianstair.entry import retry_policy
 from gentianstair.entry import work
 
 SLOTS = 6
@@ -104,8 +104,8 @@
 @pytest.mark.parametrize('found', list(verdict.Verdict))
 def test_no_policy_repeats_what_may_have_run(attempt, repeatable, found):
     error = errors.UpstreamError('x', found)
-    policy = retries.make_retries(1)
-    ours = policy.choose(error, 'c', 'u', attempt, repeatable, 9.0).retry
+    policy = retry_policy.make_retry_policy(1)
+    ours = policy.decide(error, 'c', 'u', attempt, repeatable, 9.0).retry
     not_run = found is verdict.Verdict.NOT_RUN
     naive = twins.retry_at_once(attempt, repeatable, not_run)
     if not repeatable and not not_run:
