--- a/gentianstair/entry/attempts.py
+++ b/gentianstair/entry/attempts.py
@@ -1,4 +1,4 @@
-"""Try upstreams for one request until one completes it or none may."""
+"""Run one request's attempts until one succeeds or no retry is allowed."""
 
 import collections.abc
 import typing
@@ -19,10 +19,9 @@
 
 
 class Attempt(typing.NamedTuple):
-    """One try at an upstream, and how it tells its progress.
+    """One attempt at an upstream; call ``first_token`` at its first token.
 
-    ``reader`` is the engine that is to read the prompt first, if another
-    one is.
+    ``prefill_upstream`` runs the prefill if ``upstream`` should not.
     """
 
     upstream: messages.UpstreamValue
@@ -40,8 +39,8 @@
     node: nodes.Node, names: list[str], failed: set[str]
 ) -> frozenset[str]:
     now_s = node.clock()
-    out = {n for n in names if not node.ejector.is_available(n, now_s)}
-    return frozenset(out | failed)
+    ejected = {n for n in names if not node.ejector.is_available(n, now_s)}
+    return frozenset(ejected | failed)
 
 
 def _choose(
@@ -52,29 +51,29 @@
     exclude = _excluded(node, names, failed)
     choice = node.router.choose(request.work, now_s, exclude)
     if choice is None and failed:
-        # All others failed too; one that failed may be the only one left.
+        # No other is left, so allow those that already failed.
         exclude = _excluded(node, names, set())
         choice = node.router.choose(request.work, now_s, exclude)
     return choice
 
 
-async def _one(
+async def _run_attempt(
     node: nodes.Node,
     request: requests.Request,
     choice: routing.Choice,
     run_attempt: RunAttempt,
 ) -> streams.Usage:
-    """Make one try and tell router and ejector how it went."""
+    """Run one attempt; report its outcome to the router and the ejector."""
     upstream = node.view.upstream(choice.upstream)
     if upstream is None:
         raise errors.UpstreamError('withdrawn', verdicts.Verdict.NOT_RUN)
     started_s = node.clock()
-    first_s: float | None = None
+    first_token_s: float | None = None
 
     def first_token() -> None:
-        nonlocal first_s
-        first_s = node.clock()
-        node.router.first_token(choice, request.work, first_s)
+        nonlocal first_token_s
+        first_token_s = node.clock()
+        node.router.first_token(choice, request.work, first_token_s)
 
     node.router.started(choice, request.work, started_s)
     node.ejector.record_start(choice.upstream, started_s)
@@ -89,8 +88,8 @@
         )
     except errors.UpstreamError:
         failed = True
-        # The true time: a time-out counted as a fast failure would let
-        # slow upstreams be ejected like dead ones.
+        # The ejector treats timeouts and fast failures differently, so
+        # record the real duration.
         now_s = node.clock()
         node.ejector.record_outcome(
             choice.upstream, False, now_s - started_s, now_s
@@ -105,7 +104,7 @@
             usage.output_tokens,
             failed,
         )
-    latency_s = (first_s or node.clock()) - started_s
+    latency_s = (first_token_s or node.clock()) - started_s
     node.ejector.record_outcome(choice.upstream, True, latency_s, node.clock())
     return usage
 
@@ -122,7 +121,7 @@
     )
 
 
-def _none_left(verdict: verdicts.Verdict) -> errors.RequestError:
+def _no_upstream_error(verdict: verdicts.Verdict) -> errors.RequestError:
     return errors.RequestError(
         503,
         'no-upstream',
@@ -132,7 +131,9 @@
     )
 
 
-def _final(error: errors.UpstreamError, verdict: verdicts.Verdict):
+def _upstream_failed_error(
+    error: errors.UpstreamError, verdict: verdicts.Verdict
+):
     return errors.RequestError(
         502,
         'upstream-failed',
@@ -150,41 +151,41 @@
 ) -> streams.Usage:
     """Return the usage once an upstream has completed the request.
 
-    in_use holds the upstreams that a hedge of this request is at; a copy
-    goes to another one.
+    in_use is shared by the hedged copies of a request. It holds the
+    upstreams that are running one, so that each copy goes to another.
 
-    Raise RequestError with the verdict of all tries together.
+    Raise RequestError with the combined verdict of all attempts.
     """
     verdict = verdicts.Verdict.NOT_RUN
     failed: set[str] = set()
     customer = request.caller.customer
     in_use = set() if in_use is None else in_use
-    made = 0
+    attempt_count = 0
     while True:
         choice = _choose(node, request, failed | in_use)
         if choice is None:
             _explain(node, request, 'no-upstream', failed=sorted(failed))
-            raise _none_left(verdict)
-        made += 1
-        if made == 1:
+            raise _no_upstream_error(verdict)
+        attempt_count += 1
+        if attempt_count == 1:
             node.retries.budget.record_request(customer, choice.upstream)
         _explain(node, request, 'route', **choice._asdict())
         in_use.add(choice.upstream)
         try:
-            return await _one(node, request, choice, run_attempt)
+            return await _run_attempt(node, request, choice, run_attempt)
         except errors.UpstreamError as error:
             verdict = verdicts.combine(verdict, error.verdict)
             failed.add(choice.upstream)
-            again = node.retries.decide(
+            decision = node.retries.decide(
                 error,
                 customer,
                 choice.upstream,
-                made,
+                attempt_count,
                 request.work.repeatable,
                 request.work.deadline_s - node.clock(),
             )
             _explain(
-                node, request, 'failed', why=str(error), **again._asdict()
+                node, request, 'failed', why=str(error), **decision._asdict()
             )
             loguru.logger.bind(
                 request_id=request.request_id,
@@ -192,8 +193,8 @@
                 upstream=choice.upstream,
                 verdict=verdict.name,
             ).warning('a try failed: {}', error)
-            if not again.retry:
-                raise _final(error, verdict) from error
+            if not decision.retry:
+                raise _upstream_failed_error(error, verdict) from error
         finally:
             in_use.discard(choice.upstream)
-        await trio.sleep(again.wait_s)
+        await trio.sleep(decision.wait_s)
--- a/gentianstair/entry/hash_ring.py
+++ b/gentianstair/entry/hash_ring.py
@@ -1,11 +1,11 @@
-"""Find the home of a prefix among many upstreams at flat cost."""
+"""Map keys to upstreams by consistent and rendezvous hashing."""
 
 import bisect
 import typing
 
 import xxhash
 
-# Points of each upstream on the ring: more spread it more evenly.
+# Points of each name on the ring; more points spread the keys more evenly.
 VIRTUAL_NODES = 16
 
 
@@ -16,7 +16,7 @@
 def rendezvous_select(
     key: str, names: typing.Iterable[str], count: int
 ) -> list[str]:
-    """Return the count names that rank first for a key.
+    """Return the count names with the lowest hash for a key.
 
     >>> rendezvous_select('vm-1', ['a', 'b', 'c'], 2)
     ['c', 'b']
@@ -25,7 +25,7 @@
 
 
 class HashRing:
-    """Consistent hashing: all entries that know the same names agree."""
+    """A consistent-hash ring; the same names always give the same ring."""
 
     def __init__(self, names: typing.Iterable[str]) -> None:
         points = sorted(
@@ -37,7 +37,7 @@
         self._names = [name for _, name in points]
 
     def lookup(self, key: int, count: int) -> list[str]:
-        """Return the first count different names from a key onwards."""
+        """Return the first count distinct names clockwise from a key."""
         found: list[str] = []
         size = len(self._names)
         start = bisect.bisect(self._hashes, key)
--- a/gentianstair/entry/remote_prefill.py
+++ b/gentianstair/entry/remote_prefill.py
@@ -1,4 +1,4 @@
-"""Read a prompt on one engine and hand its KV cache to another."""
+"""Run the prefill on one engine and move its KV cache to another."""
 
 import json
 import typing
@@ -24,18 +24,18 @@
     transfer_id: str
 
 
-def _reading_body(
+def _prefill_body(
     completion: completions.Completion, model: callers.Model
 ) -> bytes:
-    """Return a body that has a prompt read, at the cost of one token."""
-    single = completion._replace(stream=False, max_tokens=1)
-    body = json.loads(completions.engine_body(single, model))
+    """Return a completion body that runs the prefill and one decode step."""
+    one_token = completion._replace(stream=False, max_tokens=1)
+    body = json.loads(completions.engine_body(one_token, model))
     body['stream'] = False
     body.pop('stream_options', None)
     return json.dumps(body).encode()
 
 
-async def _ask(node: nodes.Node, outgoing: httpx.Request) -> bytes:
+async def _read_response(node: nodes.Node, outgoing: httpx.Request) -> bytes:
     stall_s = node.settings.upstream_stall_s
     async with relay.open_response(node, outgoing, stall_s) as (found, _):
         relay.check_status(found)
@@ -48,13 +48,13 @@
     return body
 
 
-async def _transfer(
+async def _transfer_kv_cache(
     node: nodes.Node, request: requests.Request, tried: attempts.Attempt
 ) -> None:
     assert tried.prefill_upstream is not None
     hashes = {'hashes': list(request.work.block_hashes)}
     source_url = tried.prefill_upstream['url']
-    body = await _ask(
+    body = await _read_response(
         node, httpx.Request('POST', f'{source_url}/kv/export', json=hashes)
     )
     export = msgspec.json.decode(body, type=_Export)
@@ -63,7 +63,7 @@
         'transfer_id': export['transfer_id'],
     }
     url = f'{tried.upstream["url"]}/kv/import'
-    await _ask(node, httpx.Request('POST', url, json=order))
+    await _read_response(node, httpx.Request('POST', url, json=order))
 
 
 async def prefill(
@@ -73,20 +73,22 @@
     completion: completions.Completion,
     model: callers.Model,
 ) -> int:
-    """Have the prompt read elsewhere; return the tokens cached there.
+    """Run the prefill remotely; return the prompt tokens cached there.
 
-    If any step fails the engine of the answer reads the prompt itself, so
-    nothing is lost but time; the caller sees no difference.
+    If any step fails, return 0: the decode engine then runs the prefill
+    itself, and the caller sees only a delay.
     """
     assert tried.prefill_upstream is not None
-    body = _reading_body(completion, model)
-    reading = tried._replace(upstream=tried.prefill_upstream)
-    outgoing = relay.engine_request(request, reading, completion.path, body)
+    body = _prefill_body(completion, model)
+    prefill_attempt = tried._replace(upstream=tried.prefill_upstream)
+    outgoing = relay.engine_request(
+        request, prefill_attempt, completion.path, body
+    )
     try:
-        answer = await _ask(node, outgoing)
+        answer = await _read_response(node, outgoing)
         tried.first_token()
         usage = streams.parse_usage(json.loads(answer)['usage'])
-        await _transfer(node, request, tried)
+        await _transfer_kv_cache(node, request, tried)
     except (
         errors.UpstreamError,
         msgspec.MsgspecError,
@@ -95,7 +97,7 @@
         TypeError,
     ) as error:
         loguru.logger.bind(request_id=request.request_id).warning(
-            'prompt not read elsewhere: {}', error
+            'remote prefill failed: {}', error
         )
         return 0
     node.explanations.add(
@@ -115,15 +117,15 @@
     model: callers.Model,
     run_attempt: attempts.RunAttempt,
 ) -> attempts.RunAttempt:
-    """Return attempt, preceded by reading elsewhere where that is chosen."""
+    """Return run_attempt, after a remote prefill where one is chosen."""
 
-    async def both(tried: attempts.Attempt) -> streams.Usage:
+    async def prefill_then_run(tried: attempts.Attempt) -> streams.Usage:
         if tried.prefill_upstream is None:
             return await run_attempt(tried)
-        cached = await prefill(node, request, tried, completion, model)
+        cached_tokens = await prefill(node, request, tried, completion, model)
         usage = await run_attempt(tried)
-        # What the reader found tells how far its cache is known; what the
-        # other engine found is what was just moved there.
-        return usage._replace(cached_tokens=cached)
+        # The router needs the cache hits of the prefill engine. Those of the
+        # decode engine are the KV cache that was just moved there.
+        return usage._replace(cached_tokens=cached_tokens)
 
-    return both
+    return prefill_then_run
--- a/gentianstair/entry/retry_policy.py
+++ b/gentianstair/entry/retry_policy.py
@@ -1,4 +1,4 @@
-"""Decide whether and when a failed try may be repeated or hedged."""
+"""Decide whether and when a request is retried or hedged."""
 
 import bisect
 import collections
@@ -9,101 +9,108 @@
 from gentianstair import verdict as verdicts
 from gentianstair.core import ejection
 
-# Retries and hedges together are at most this share of fresh requests.
+# Retries and hedges allowed for each new request, in the long run.
 RETRY_RATIO = 0.08
-# Saved-up retries: enough for a single replica's loss, and few enough that
-# an outage's end is not met by a wave.
+# Bounds of a token bucket; a retry takes one token. The maximum allows for
+# the loss of one replica and limits the retry burst after an outage.
 MAX_RETRY_TOKENS = 10.0
 INITIAL_RETRY_TOKENS = 3.0
 BASE_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 5.0
 MAX_ATTEMPTS = 4
-# A look-up is hedged once it took longer than this share of the others.
+# A call is hedged once it has taken longer than this quantile of the last
+# HEDGE_MAX_SAMPLES latencies. With fewer than HEDGE_MIN_SAMPLES, none is.
 HEDGE_QUANTILE = 0.95
 HEDGE_MAX_SAMPLES = 200
 HEDGE_MIN_SAMPLES = 20
 
 
-class _Bucket:
-    """Saved retries; a fresh request adds a share of one."""
+class _TokenBucket:
+    """A token bucket that each new request refills by RETRY_RATIO."""
 
-    __slots__ = ('saved',)
+    __slots__ = ('tokens',)
 
     def __init__(self) -> None:
-        self.saved = INITIAL_RETRY_TOKENS
+        self.tokens = INITIAL_RETRY_TOKENS
 
-    def earn(self) -> None:
-        self.saved = min(MAX_RETRY_TOKENS, self.saved + RETRY_RATIO)
+    def refill(self) -> None:
+        self.tokens = min(MAX_RETRY_TOKENS, self.tokens + RETRY_RATIO)
 
 
 class RetryBudget:
-    """Hold retries to a share of fresh traffic.
+    """Limit retries and hedges to a share of the new requests.
 
-    A retry is paid by the customer's bucket and by the bucket of the
-    upstream that failed, so neither a customer whose requests always fail
-    nor a broken upstream can multiply the load. In an outage everything
-    fails, the buckets run dry and the storm ends by itself.
+    A retry takes a token from the customer's bucket and one from the bucket
+    of the upstream that failed, so neither a customer whose requests always
+    fail nor a broken upstream can multiply the load.
     """
 
     def __init__(self) -> None:
-        self._customers: dict[str, _Bucket] = {}
-        self._upstreams: dict[str, _Bucket] = {}
+        self._customer_buckets: dict[str, _TokenBucket] = {}
+        self._upstream_buckets: dict[str, _TokenBucket] = {}
 
-    def _buckets(self, customer: str, upstream: str) -> tuple[_Bucket, ...]:
+    def _buckets(
+        self, customer: str, upstream: str
+    ) -> tuple[_TokenBucket, ...]:
         return (
-            self._customers.setdefault(customer, _Bucket()),
-            self._upstreams.setdefault(upstream, _Bucket()),
+            self._customer_buckets.setdefault(customer, _TokenBucket()),
+            self._upstream_buckets.setdefault(upstream, _TokenBucket()),
         )
 
     def record_request(self, customer: str, upstream: str) -> None:
-        """Count a first try; call it once a request."""
+        """Refill the buckets; call it once for each request."""
         for bucket in self._buckets(customer, upstream):
-            bucket.earn()
+            bucket.refill()
 
     def try_spend(self, customer: str, upstream: str) -> bool:
-        """Pay for one more try after one at upstream; False if too dear."""
+        """Take the tokens for a retry or hedge; return False if one lacks."""
         buckets = self._buckets(customer, upstream)
-        if min(bucket.saved for bucket in buckets) < 1.0:
+        if min(bucket.tokens for bucket in buckets) < 1.0:
             return False
         for bucket in buckets:
-            bucket.saved -= 1.0
+            bucket.tokens -= 1.0
         return True
 
     def remove_upstream(self, upstream: str) -> None:
-        """Drop the bucket of an upstream that left."""
-        self._upstreams.pop(upstream, None)
+        """Remove the bucket of an upstream that no longer exists."""
+        self._upstream_buckets.pop(upstream, None)
 
 
 class HedgeDelays:
-    """Learn when a second copy of an idempotent look-up pays."""
+    """Delays after which an idempotent call is hedged, by service."""
 
     def __init__(self) -> None:
-        self._kept: dict[str, collections.deque[float]] = {}
+        self._latencies: dict[str, collections.deque[float]] = {}
 
     def record_latency(self, service: str, latency_s: float) -> None:
-        """Take the latency of a finished look-up."""
-        kept = self._kept.setdefault(
+        """Record the latency of a finished call."""
+        latencies = self._latencies.setdefault(
             service, collections.deque(maxlen=HEDGE_MAX_SAMPLES)
         )
-        kept.append(latency_s)
+        latencies.append(latency_s)
 
     def delay_s(self, service: str, idempotent: bool) -> float | None:
-        """Return when to send a second copy; None is never.
+        """Return the delay before a second copy, or None for no hedge.
 
-        Generations and unrepeatable calls are never hedged: the first
-        would cost an engine twice, the second would run twice.
+        Completions and non-idempotent calls are never hedged: a second
+        completion would take up another engine, and a second call could
+        have its effect twice.
         """
-        kept = self._kept.get(service)
-        if not idempotent or kept is None or len(kept) < HEDGE_MIN_SAMPLES:
+        latencies = self._latencies.get(service)
+        if (
+            not idempotent
+            or latencies is None
+            or len(latencies) < HEDGE_MIN_SAMPLES
+        ):
             return None
-        ordered: list[float] = []
-        for latency_s in kept:
-            bisect.insort(ordered, latency_s)
-        return ordered[int(HEDGE_QUANTILE * (len(ordered) - 1))]
+        sorted_s: list[float] = []
+        for latency_s in latencies:
+            bisect.insort(sorted_s, latency_s)
+        return sorted_s[int(HEDGE_QUANTILE * (len(sorted_s) - 1))]
 
 
 class RetryDecision(typing.NamedTuple):
-    """Whether to try again, when, and why; kept for ``explain``."""
+    """Whether to retry, when, and why; shown by ``explain``."""
 
     retry: bool
     wait_s: float
@@ -113,7 +120,7 @@
 
 
 class RetryPolicy:
-    """The policy on repeated tries of one entry process."""
+    """The retry, hedge and ejection state of one entry process."""
 
     def __init__(self, seed: int = 0) -> None:
         self._random = random.Random(seed)
@@ -122,12 +129,13 @@
         self.ejector = ejection.Ejector(seed)
 
     def backoff_s(self, attempt: int) -> float:
-        """Return a random wait before the attempt; the first retry is 1.
+        """Return the wait before a retry; attempt is 1 for the first one.
 
-        Full jitter: callers that failed together do not return together.
+        It is exponential backoff with full jitter, so that requests that
+        failed together are not retried together.
         """
-        most_s = min(MAX_BACKOFF_S, BASE_BACKOFF_S * 2.0**attempt)
-        return self._random.uniform(0.0, most_s)
+        max_wait_s = min(MAX_BACKOFF_S, BASE_BACKOFF_S * 2.0**attempt)
+        return self._random.uniform(0.0, max_wait_s)
 
     def decide(
         self,
@@ -138,10 +146,10 @@
         repeatable: bool,
         left_s: float,
     ) -> RetryDecision:
-        """Return whether to try again after error on the given upstream.
+        """Decide whether to retry after an error of the given upstream.
 
-        attempt counts the tries made. An unrepeatable request is tried
-        again only if it certainly did not run.
+        attempt is the number of attempts made. A request that is not
+        repeatable is retried only if it has certainly not run.
         """
         wait_s = self.backoff_s(attempt)
         not_run = error.verdict is verdicts.Verdict.NOT_RUN
@@ -161,5 +169,5 @@
 
 
 def make_retry_policy(seed: int = 0) -> RetryPolicy:
-    """Return the policy of one entry process."""
+    """Return the retry policy of one entry process."""
     return RetryPolicy(seed)
--- a/gentianstair/entry/sharing.py
+++ b/gentianstair/entry/sharing.py
@@ -1,4 +1,4 @@
-"""Share what this VM's queue and limits know with the other VMs."""
+"""Exchange fairness and limits summaries between the entry VMs."""
 
 import collections.abc
 import typing
@@ -16,61 +16,61 @@
 
 FAIRNESS_TOPIC = 'fairness'
 LIMITS_TOPIC = 'limits'
-# Rows of one summary and of the one before, together below the peers' limit
-# of a message; with more customers the rows take turns.
+# Most new rows in one summary; the others wait for the next ones. A summary
+# and the rows repeated with it must fit into one peer message.
 MAX_ROWS = 15
 
 DROPPED_SUMMARIES = prometheus_client.Counter(
-    'gentianstair_summaries_dropped', 'Summaries that no schema matches'
+    'gentianstair_summaries_dropped',
+    'Summaries that do not match their schema',
 )
 
 Summary = dict[str, typing.Any]
 
 
 class RowRepeater:
-    """The rows of the last two summaries.
+    """Adds the rows of the previous summary of a topic to the next one.
 
-    A peer takes just the newest summary of a topic, with each heartbeat.
-    Were each to hold only the changes since the one before, a row that
-    changed once could be replaced before it was ever sent.
+    Each heartbeat carries only the newest summary. Without the repetition, a
+    summary that replaces an unsent one would lose the rows in it.
     """
 
     def __init__(self) -> None:
-        self._last: dict[tuple, Summary] = {}
+        self._previous_rows: dict[tuple, Summary] = {}
 
     def add_previous(self, summary: Summary) -> Summary:
-        """Return the summary with the rows of the one before beside it."""
+        """Return the summary with the rows of the previous one added."""
         rows = {
             (row.get('model'), row['customer']): row for row in summary['rows']
         }
-        both = {**self._last, **rows}
-        self._last = rows
-        return {**summary, 'rows': list(both.values())}
+        combined = {**self._previous_rows, **rows}
+        self._previous_rows = rows
+        return {**summary, 'rows': list(combined.values())}
 
 
 def validated(
-    kind: type, merge: collections.abc.Callable[[str, typing.Any], None]
+    schema: type, merge: collections.abc.Callable[[str, typing.Any], None]
 ) -> collections.abc.Callable[[str, Summary], None]:
-    """Return merge for summaries that match the schema; drop others.
+    """Return a handler that merges valid summaries and drops others.
 
-    Summaries are passed on by other VMs. One of a kind that this version
-    does not know must not cost the link to the VM that passed it on.
+    A summary may come from a VM of another version and be forwarded by a
+    third one. An exception here would close the link to the forwarder.
     """
 
-    def take(vm: str, summary: Summary) -> None:
+    def handle(vm: str, summary: Summary) -> None:
         try:
-            found = msgspec.convert(summary, kind)
+            valid = msgspec.convert(summary, schema)
         except msgspec.ValidationError as error:
             DROPPED_SUMMARIES.inc()
-            loguru.logger.debug('summary of {} dropped: {}', vm, error)
+            loguru.logger.debug('dropped invalid summary of {}: {}', vm, error)
             return
-        merge(vm, found)
+        merge(vm, valid)
 
-    return take
+    return handle
 
 
-def _live(peer: peers.Node) -> list[str]:
-    """Return the VMs that serve callers, by their names."""
+def _live_vms(peer: peers.Node) -> list[str]:
+    """Return the names of the VMs that are live or suspected."""
     return [
         member.name
         for member in peer.members()
@@ -79,7 +79,7 @@
 
 
 async def run(node: nodes.Node, peer: peers.Node) -> None:
-    """Publish summaries and take those of other VMs, until cancelled."""
+    """Publish this VM's summaries and merge others', until cancelled."""
     sources = {
         FAIRNESS_TOPIC: (node.queue, RowRepeater()),
         LIMITS_TOPIC: (node.limits, RowRepeater()),
@@ -89,7 +89,7 @@
     peer.subscribe(FAIRNESS_TOPIC, fairness)
     peer.subscribe(LIMITS_TOPIC, limits)
     while True:
-        live = _live(peer)
+        live = _live_vms(peer)
         for topic, (source, rows) in sources.items():
             source.set_vms(live)
             summary = source.summary(MAX_ROWS)
@@ -98,7 +98,7 @@
             try:
                 peer.publish(topic, rows.add_previous(summary))
             except errors.DecodeError as error:
-                loguru.logger.warning('summary not sent: {}', error)
-        # Limits hold as long as a summary is delivered before the next one
-        # is made, so both keep the time of the heartbeats.
+                loguru.logger.warning('could not publish summary: {}', error)
+        # Heartbeats carry the summaries. Limits are kept only if each summary
+        # is delivered before the next one, so publish at the same interval.
         await trio.sleep(node.settings.heartbeat_s)
--- a/test/entry/test_decision_invariants.py
+++ b/test/entry/test_decision_invariants.py
@@ -1,14 +1,16 @@
 """Test invariants of queues and retries, also on the naive baselines."""
 
+import random
+
+import pytest
+import trio
+
 from gentianstair import errors
 from gentianstair import verdict
 from gentianstair.bench import twins
 from gentianstair.entry import admission
 from gentianstair.entry import retry_policy
 from gentianstair.entry import work
-import pytest
-import random
-import trio
 
 SLOTS = 6
 
--- a/test/entry/test_hedging.py
+++ b/test/entry/test_hedging.py
@@ -1,4 +1,4 @@
-"""Test hedged look-ups of plain services."""
+"""Test hedged calls of plain services."""
 
 import collections
 import typing
@@ -18,11 +18,11 @@
 from gentianstair.entry import work
 
 NAMES = ('s1', 's2')
-USUAL_S = 0.05
-QUICK_S = 0.04
+USUAL_LATENCY_S = 0.05
+FAST_LATENCY_S = 0.04
 
 
-class View:
+class FakeView:
     """Two replicas of a service."""
 
     def upstream(self, name):
@@ -30,9 +30,9 @@
 
 
 class FakeNode(typing.NamedTuple):
-    """The parts of a node that a look-up uses."""
+    """The parts of a node that a service call uses."""
 
-    view: View
+    view: FakeView
     router: routing.Router
     retries: retry_policy.RetryPolicy
     explanations: explain.Explanations
@@ -50,33 +50,38 @@
     )
     found = retry_policy.make_retry_policy()
     for _ in range(50):
-        found.hedge_delays.record_latency('stock', USUAL_S)
+        found.hedge_delays.record_latency('stock', USUAL_LATENCY_S)
         found.budget.record_request('c', 's1')
         found.budget.record_request('c', 's2')
-    return FakeNode(View(), router, found, explain.make_explanations())
+    return FakeNode(FakeView(), router, found, explain.make_explanations())
 
 
 @pytest.mark.parametrize(
-    ('method', 'slow', 'copies', 'most_s'),
+    ('method', 'slow_attempts', 'attempt_count', 'max_latency_s'),
     [
-        # The usual look-up is not copied.
-        ('GET', 0, 1, USUAL_S),
-        # A slow one is, at another replica, and the first answer counts.
-        ('GET', 1, 2, 3 * USUAL_S),
-        # A call that may not be repeated never is, however slow.
+        # A call of usual latency is not hedged.
+        ('GET', 0, 1, USUAL_LATENCY_S),
+        # A slow one is, at another replica; the first response counts.
+        ('GET', 1, 2, 3 * USUAL_LATENCY_S),
+        # A non-idempotent call is never hedged, however slow.
         ('POST', 1, 1, 60.0),
     ],
 )
-async def test_only_slow_look_ups_are_copied(
-    method, slow, copies, most_s, autojump_clock, monkeypatch
+async def test_only_slow_idempotent_calls_are_hedged(
+    method,
+    slow_attempts,
+    attempt_count,
+    max_latency_s,
+    autojump_clock,
+    monkeypatch,
 ):
     node = make_node()
-    asked = []
+    attempted = []
 
     async def attempt(self, tried):
-        asked.append(tried.name)
-        late = len(asked) <= slow
-        await trio.sleep(30.0 if late else QUICK_S)
+        attempted.append(tried.name)
+        is_slow = len(attempted) <= slow_attempts
+        await trio.sleep(30.0 if is_slow else FAST_LATENCY_S)
         self.reply = services.Reply(200, [], tried.name.encode())
         return services.streams.Usage()
 
@@ -87,17 +92,16 @@
     request = requests.Request('r', caller, item, None)
     started_s = trio.current_time()
     reply = await services.run(node, request, call)
-    assert reply.body.decode() == asked[-1]
-    assert trio.current_time() - started_s <= most_s
-    assert len(asked) == copies
-    assert max(collections.Counter(asked).values()) == 1
+    assert reply.body.decode() == attempted[-1]
+    assert trio.current_time() - started_s <= max_latency_s
+    assert len(attempted) == attempt_count
+    assert max(collections.Counter(attempted).values()) == 1
 
 
-async def test_a_hedge_that_fails_everywhere_tells_the_worst_verdict(
+async def test_failed_hedged_call_reports_the_worst_verdict(
     autojump_clock, monkeypatch
 ):
-    # Both copies of a look-up fail, one after it may have run. The answer
-    # must not say "not run" because the other copy never started.
+    # Both copies of a call fail, and one of them may have run.
     node = make_node()
     verdicts = [verdict.Verdict.NOT_RUN, verdict.Verdict.MAY_HAVE_RUN]
 
