--- a/gentianstair/control/usage_sealer.py
+++ b/gentianstair/control/usage_sealer.py
@@ -54,7 +54,7 @@
         self,
         store: stores.Store,
         sender: reports.Sender,
-        wall_clock: usage.Wall,
+        wall_clock: usage.WallClock,
         clock: clocks.Clock,
         timing: SealTiming,
     ) -> None:
@@ -295,7 +295,7 @@
 def make_sealer(
     store: stores.Store,
     sender: reports.Sender,
-    wall_clock: usage.Wall,
+    wall_clock: usage.WallClock,
     clock: clocks.Clock,
     timing: SealTiming,
 ) -> Sealer:
--- a/gentianstair/entry/app.py
+++ b/gentianstair/entry/app.py
@@ -22,7 +22,7 @@
     path = scope['path']
     if path in completions.PATHS:
         return scope['method'] == 'POST'
-    return path.startswith(services.PREFIX)
+    return path.startswith(services.PATH_PREFIX)
 
 
 class App:
@@ -56,7 +56,7 @@
     return response
 
 
-def create_quart(
+def create_quart_app(
     node: nodes.Node, leaving: trio.Event
 ) -> quart_trio.QuartTrio:
     """Return the application of the paths that are not relayed."""
@@ -93,11 +93,11 @@
             errors.RequestError(405, 'method-not-allowed', 'other method')
         )
 
-    add_health(app, node, leaving)
+    add_health_routes(app, node, leaving)
     return app
 
 
-def ready_problem(node: nodes.Node, leaving: trio.Event) -> str | None:
+def not_ready_reason(node: nodes.Node, leaving: trio.Event) -> str | None:
     """Return why the balancer should not send here, or None."""
     if leaving.is_set():
         return 'leaving'
@@ -108,7 +108,7 @@
     return None
 
 
-def add_health(
+def add_health_routes(
     app: quart_trio.QuartTrio, node: nodes.Node, leaving: trio.Event
 ) -> None:
     """Add health, readiness and metrics to app."""
@@ -119,7 +119,7 @@
 
     @app.get('/readyz')
     async def readyz():
-        why = ready_problem(node, leaving)
+        why = not_ready_reason(node, leaving)
         if why is None:
             return {'status': 'ready'}
         return {'status': 'not ready', 'why': why}, 503
@@ -134,4 +134,4 @@
 
 def create_app(node: nodes.Node, leaving: trio.Event) -> App:
     """Return the application that callers meet."""
-    return App(node, create_quart(node, leaving))
+    return App(node, create_quart_app(node, leaving))
--- a/gentianstair/entry/callers.py
+++ b/gentianstair/entry/callers.py
@@ -7,7 +7,7 @@
 from gentianstair.config import view as views
 from gentianstair.generated import messages
 
-BEARER = 'bearer '
+BEARER_PREFIX = 'bearer '
 
 
 class Caller(typing.NamedTuple):
@@ -27,10 +27,10 @@
     bundle_number: int
 
 
-def digest(key: str) -> str:
+def digest_key(key: str) -> str:
     """Return the name under which a key is kept.
 
-    >>> digest('a')[:8]
+    >>> digest_key('a')[:8]
     'ca978112'
     """
     return hashlib.sha256(key.encode()).hexdigest()
@@ -41,9 +41,11 @@
     refused = errors.RequestError(
         401, 'bad-key', 'the request carries no valid key'
     )
-    if not authorization or not authorization.lower().startswith(BEARER):
+    if not authorization or not authorization.lower().startswith(
+        BEARER_PREFIX
+    ):
         raise refused
-    key_digest = digest(authorization[len(BEARER) :].strip())
+    key_digest = digest_key(authorization[len(BEARER_PREFIX) :].strip())
     key = view.key(key_digest)
     if key is None or key['revoked']:
         raise refused
@@ -53,7 +55,7 @@
     return Caller(key['customer'], key_digest)
 
 
-def still_valid(view: views.View, caller: Caller) -> bool:
+def is_key_valid(view: views.View, caller: Caller) -> bool:
     """Return whether the caller's key stands; false once it is revoked."""
     key = view.key(caller.key_digest)
     return key is not None and not key['revoked']
--- a/gentianstair/entry/completions.py
+++ b/gentianstair/entry/completions.py
@@ -7,7 +7,7 @@
 from gentianstair.entry import callers
 
 DEFAULT_MAX_TOKENS = 256
-MAX_DEPTH = 32
+MAX_NESTING_DEPTH = 32
 MAX_PRIORITY = 9
 CHAT_PATH = '/v1/chat/completions'
 TEXT_PATH = '/v1/completions'
@@ -70,8 +70,8 @@
         raise _bad('the body is not JSON') from None
     if not isinstance(body, dict):
         raise _bad('the body is not a JSON object')
-    if not _depth_ok(body, MAX_DEPTH):
-        raise _bad(f'the body is nested deeper than {MAX_DEPTH}')
+    if not _depth_ok(body, MAX_NESTING_DEPTH):
+        raise _bad(f'the body is nested deeper than {MAX_NESTING_DEPTH}')
     return body
 
 
--- a/gentianstair/entry/explain.py
+++ b/gentianstair/entry/explain.py
@@ -4,8 +4,8 @@
 import time
 import typing
 
-KEPT_REQUESTS = 5000
-MAX_STEPS = 40
+MAX_REQUESTS = 5000
+MAX_STEPS_PER_REQUEST = 40
 
 
 class Step(typing.NamedTuple):
@@ -19,8 +19,8 @@
 class Explanations:
     """The steps of recent requests; the oldest requests go first."""
 
-    def __init__(self, kept: int = KEPT_REQUESTS) -> None:
-        self._kept = kept
+    def __init__(self, max_requests: int = MAX_REQUESTS) -> None:
+        self._max_requests = max_requests
         self._requests: collections.OrderedDict[
             str, tuple[str, list[Step]]
         ] = collections.OrderedDict()
@@ -35,9 +35,9 @@
     ) -> None:
         """Note a step."""
         _, steps = self._requests.setdefault(request_id, (customer, []))
-        if len(steps) < MAX_STEPS:
+        if len(steps) < MAX_STEPS_PER_REQUEST:
             steps.append(Step(time.time(), step, detail))
-        if len(self._requests) > self._kept:
+        if len(self._requests) > self._max_requests:
             self._requests.popitem(last=False)
 
     def get(self, request_id: str) -> dict[str, typing.Any] | None:
@@ -53,6 +53,6 @@
         }
 
 
-def make_explanations(kept: int = KEPT_REQUESTS) -> Explanations:
+def make_explanations(max_requests: int = MAX_REQUESTS) -> Explanations:
     """Return an empty record."""
-    return Explanations(kept)
+    return Explanations(max_requests)
--- a/gentianstair/entry/handler.py
+++ b/gentianstair/entry/handler.py
@@ -25,17 +25,17 @@
 from gentianstair.util import blocks
 
 _REQUEST_ID = re.compile(r'[A-Za-z0-9._-]{1,64}')
-NOT_FRESH_RETRY_S = 1.0
+NOT_FRESH_RETRY_AFTER_S = 1.0
 # Set by the usual client libraries to the number of the repeat.
-RETRY_HEADER = 'x-stainless-retry-count'
-SERVICE_TOKENS = 1
+RETRY_COUNT_HEADER = 'x-stainless-retry-count'
+SERVICE_CALL_TOKENS = 1
 
 REQUESTS = prometheus_client.Counter(
     'gentianstair_requests',
     'Requests by their answer',
     ['route', 'status', 'verdict'],
 )
-RUNNING = prometheus_client.Gauge(
+RUNNING_REQUESTS = prometheus_client.Gauge(
     'gentianstair_requests_running', 'Requests being served'
 )
 TOKENS = prometheus_client.Counter(
@@ -60,7 +60,7 @@
             503,
             'not-fresh',
             'this VM has not heard lately whether its configuration stands',
-            retry_after_s=NOT_FRESH_RETRY_S,
+            retry_after_s=NOT_FRESH_RETRY_AFTER_S,
         )
 
 
@@ -78,7 +78,7 @@
     async def serve(self) -> None:
         """Serve the request; every failure ends in a final answer."""
         started_s = self._node.clock()
-        RUNNING.inc()
+        RUNNING_REQUESTS.inc()
         try:
             self._request_id = _request_id(self._exchange)
             self._exchange.connection.request_id = self._request_id
@@ -96,7 +96,7 @@
             loguru.logger.exception('a request failed inside')
             await self._fail(_internal())
         finally:
-            RUNNING.dec()
+            RUNNING_REQUESTS.dec()
             # Without a status it was cancelled: the grace is over, or the
             # process ends.
             self._status = self._status or exchanges.HTTP_CLOSED_BY_SERVER
@@ -201,7 +201,7 @@
 
     def _returns(self) -> bool:
         """Return whether the caller says that it was told to come back."""
-        return (self._exchange.header(RETRY_HEADER) or '0') != '0'
+        return (self._exchange.header(RETRY_COUNT_HEADER) or '0') != '0'
 
     async def _until_gone(
         self,
@@ -233,7 +233,7 @@
         node = self._node
         exchange = self._exchange
         if completion.stream:
-            streaming = relay.Streaming(
+            streaming = relay.StreamingRelay(
                 node, exchange, request, completion, model
             )
             usage = await streaming.run(
@@ -243,7 +243,7 @@
             )
             self._status = 200
         else:
-            whole = relay.Whole(node, request, completion, model)
+            whole = relay.BufferedRelay(node, request, completion, model)
             usage = await whole.run(
                 split.with_reader(
                     node, request, completion, model, whole.attempt
@@ -254,7 +254,7 @@
                 whole.status,
                 whole.content_type,
                 whole.body,
-                relay.answer_headers(request),
+                relay.response_headers(request),
             )
         self._verdict = verdicts.Verdict.RAN
         TOKENS.labels('prompt').inc(usage.prompt_tokens)
@@ -266,18 +266,18 @@
     ) -> None:
         node = self._node
         call = services.parse(self._exchange, body)
-        services.check_known(node, call.service)
+        services.check_service_exists(node, call.service)
         work = works.Work(
             self._request_id,
             caller.customer,
             services.routing_name(call.service),
-            SERVICE_TOKENS,
-            SERVICE_TOKENS,
+            SERVICE_CALL_TOKENS,
+            SERVICE_CALL_TOKENS,
             deadline_s,
             repeatable=call.repeatable,
         )
         request = requests.Request(
-            self._request_id, caller, work, node.view.bundle(), service=True
+            self._request_id, caller, work, node.view.bundle(), is_service=True
         )
 
         async def run() -> None:
@@ -294,7 +294,7 @@
         if scope.cancelled_caught:
             raise _stopping()
 
-    async def _reply(self, reply: services.Reply) -> None:
+    async def _reply(self, reply: services.ServiceResponse) -> None:
         self._status = reply.status
         self._verdict = verdicts.Verdict.RAN
         headers = [
--- a/gentianstair/entry/main.py
+++ b/gentianstair/entry/main.py
@@ -24,7 +24,7 @@
 from gentianstair.entry import retries
 from gentianstair.entry import routing
 from gentianstair.entry import sharing
-from gentianstair.entry import upkeep
+from gentianstair.entry import upstream_monitor
 from gentianstair.entry import usage as usages
 from gentianstair.generated import settings as generated
 from gentianstair.peers import node as peers
@@ -35,7 +35,7 @@
 from gentianstair.util import serving
 from gentianstair.util import tls
 
-GRACE_S = 1.0
+OPERATOR_DRAIN_TIMEOUT_S = 1.0
 
 
 def _weight_of(view: views.View) -> typing.Callable[[str], float]:
@@ -102,11 +102,11 @@
             config.claim_retention_s,
         ),
         limits=limits.make_limits(config.vm_name, _terms_of(view), now),
-        usage=usages.make_usage(
+        usage=usages.make_usage_recorder(
             store,
             config.vm_name,
             time.time,
-            usages.Terms(
+            usages.UsageSettings(
                 config.usage_window_s,
                 config.usage_flush_s,
                 config.usage_flush_tokens,
@@ -124,7 +124,7 @@
 ) -> quart_trio.QuartTrio:
     """Return the application that operators and the balancer meet."""
     app = quart_trio.QuartTrio('gentianstair.operator')
-    apps.add_health(app, node, leaving)
+    apps.add_health_routes(app, node, leaving)
 
     @app.get('/operator/status')
     async def status():
@@ -139,7 +139,7 @@
                 for member in peer.members()
             ],
             'fresh': node.freshness.is_fresh(),
-            'ready': apps.ready_problem(node, leaving) is None,
+            'ready': apps.not_ready_reason(node, leaving) is None,
         }
 
     @app.get('/operator/confirmed')
@@ -155,10 +155,10 @@
     async def key(digest: str):
         return {'key': node.view.key(digest), 'revision': node.view.revision}
 
-    return quart_app(app)
+    return add_json_not_found(app)
 
 
-def quart_app(app: quart_trio.QuartTrio) -> quart_trio.QuartTrio:
+def add_json_not_found(app: quart_trio.QuartTrio) -> quart_trio.QuartTrio:
     """Answer unknown paths without a page for people."""
 
     @app.errorhandler(404)
@@ -220,14 +220,14 @@
         nursery.start_soon(node.claims.run_batches)
         nursery.start_soon(links.run)
         nursery.start_soon(node.usage.run)
-        nursery.start_soon(upkeep.run, node)
+        nursery.start_soon(upstream_monitor.run, node)
         nursery.start_soon(
             functools.partial(
                 serving.serve,
                 create_operator_app(node, peer, leaving),
                 operator_sock,
                 trio.sleep_forever,
-                GRACE_S,
+                OPERATOR_DRAIN_TIMEOUT_S,
             )
         )
         print(f'listening {host}:{port} {operator_port}', flush=True)
--- a/gentianstair/entry/node.py
+++ b/gentianstair/entry/node.py
@@ -36,7 +36,7 @@
     retries: retries.Retries
     claims: claimses.Claims
     limits: limits.Limits
-    usage: usages.Usage
+    usage: usages.UsageRecorder
     explanations: explain.Explanations
     transport: transport.Transport
     grace: grace_period.GracePeriod
--- a/gentianstair/entry/relay.py
+++ b/gentianstair/entry/relay.py
@@ -19,12 +19,12 @@
 from gentianstair.entry import tries
 from gentianstair.upstreams import transport
 
-NOT_STARTED = 'x-not-started'
-EVENT_STREAM = b'text/event-stream'
-JSON = 'application/json'
-MAX_ANSWER_BYTES = 16 * 1024 * 1024
-BILL_STEP_TOKENS = 64
-BILL_STEP_MARGIN = 4
+NOT_STARTED_HEADER = 'x-not-started'
+EVENT_STREAM_TYPE = b'text/event-stream'
+JSON_TYPE = 'application/json'
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+BILLING_STEP_TOKENS = 64
+BILLING_MARGIN_TOKENS = 4
 
 
 def engine_request(
@@ -52,12 +52,12 @@
     if status < 500 and status != 429:
         return
     verdict = verdicts.Verdict.MAY_HAVE_RUN
-    if response.headers.get(NOT_STARTED) == '1':
+    if response.headers.get(NOT_STARTED_HEADER) == '1':
         verdict = verdicts.Verdict.NOT_RUN
     raise errors.UpstreamError(f'the upstream answered {status}', verdict)
 
 
-class Guard:
+class StallTimeout:
     """End a try whose upstream has fallen silent.
 
     Moving a deadline at each token costs more than it is worth, so it moves
@@ -71,12 +71,12 @@
         self._limit_s = limit_s
         self._step_s = limit_s / 8
         self._next_s = 0.0
-        self.caller_waits = False
-        self.progress()
+        self.waiting_for_caller = False
+        self.record_progress()
 
-    def progress(self) -> None:
+    def record_progress(self) -> None:
         """Note that the upstream sent something."""
-        self.caller_waits = False
+        self.waiting_for_caller = False
         now_s = trio.current_time()
         if now_s >= self._next_s:
             self._next_s = now_s + self._step_s
@@ -86,37 +86,39 @@
 @contextlib.asynccontextmanager
 async def open_response(
     node: nodes.Node, outgoing: httpx.Request, stall_s: float
-) -> collections.abc.AsyncIterator[tuple[httpx.Response, Guard]]:
+) -> collections.abc.AsyncIterator[tuple[httpx.Response, StallTimeout]]:
     """Yield the response at its headers, and the guard of its body."""
     response = None
     with trio.CancelScope() as scope:
-        guard = Guard(scope, stall_s)
+        guard = StallTimeout(scope, stall_s)
         try:
             response = await node.transport.handle_async_request(outgoing)
             yield response, guard
         finally:
             if response is not None:
-                with trio.CancelScope(shield=True, deadline=_soon()):
+                with trio.CancelScope(
+                    shield=True, deadline=_close_deadline_s()
+                ):
                     await response.stream.aclose()
     if not scope.cancelled_caught:
         return
-    if guard.caller_waits:
+    if guard.waiting_for_caller:
         raise exchanges.CallerDisconnectedError('the caller stopped reading')
     raise errors.UpstreamError(
         f'no data for {stall_s:g} s', verdicts.Verdict.MAY_HAVE_RUN
     )
 
 
-def _soon() -> float:
+def _close_deadline_s() -> float:
     return trio.current_time() + 1.0
 
 
 async def read_all(response: httpx.Response) -> bytes:
     """Return a whole body; raise UpstreamError for one that is too long."""
-    return await transport.read_all(response, MAX_ANSWER_BYTES)
+    return await transport.read_all(response, MAX_RESPONSE_BYTES)
 
 
-def bill(
+def record_usage(
     node: nodes.Node,
     request: requests.Request,
     tried: tries.Try,
@@ -134,7 +136,7 @@
     )
 
 
-class Streaming:
+class StreamingRelay:
     """A streamed answer over as many engines as it takes."""
 
     def __init__(
@@ -150,18 +152,18 @@
         self._request = request
         self._completion = completion
         self._model = model
-        self._billed = 0
-        self.answer = streams.Answer(completion.wants_usage)
+        self._billed_tokens = 0
+        self.response = streams.StreamedResponse(completion.wants_usage)
 
     async def attempt(self, tried: tries.Try) -> streams.Usage:
         """Stream from one engine, going on after what was delivered."""
         node = self._node
-        if self.answer.finished:
+        if self.response.has_finish_reason:
             # The engine was lost after the last word, before its end.
-            self.answer.done = True
-            return self.answer.total()
+            self.response.end_received = True
+            return self.response.total_usage()
         body = completions.engine_body(
-            self._completion, self._model, self.answer.resume_text()
+            self._completion, self._model, self.response.resume_text()
         )
         outgoing = engine_request(
             self._request, tried, self._completion.path, body
@@ -172,23 +174,27 @@
             async with opened as (found, guard):
                 check_status(found)
                 if found.status_code != 200:
-                    await self._refused(found)
+                    await self._forward_refusal(found)
                     return streams.Usage()
-                await self._start()
-                self._billed = 0
-                bill_part = functools.partial(self._bill_part, tried)
-                with node.usage.relaying(bill_part):
-                    await self._copy(found, guard, tried, bill_part)
-            self.answer.ending()
+                await self._start_response()
+                self._billed_tokens = 0
+                bill_part = functools.partial(self._bill_delivered, tried)
+                with node.usage.track_stream(bill_part):
+                    await self._forward_stream(found, guard, tried, bill_part)
+            self.response.final_events()
         finally:
             # Each run is billed by itself, also one that was cut, since
             # the runs of one answer may be on upstreams of other kinds.
-            used = self.answer.run_usage(self._request.work.prompt_tokens)
-            left = max(0, used.output_tokens - self._billed)
-            bill(node, self._request, tried, used._replace(output_tokens=left))
-        return self.answer.total()
+            used = self.response.attempt_usage(
+                self._request.work.prompt_tokens
+            )
+            left = max(0, used.output_tokens - self._billed_tokens)
+            record_usage(
+                node, self._request, tried, used._replace(output_tokens=left)
+            )
+        return self.response.total_usage()
 
-    async def _refused(self, found: httpx.Response) -> None:
+    async def _forward_refusal(self, found: httpx.Response) -> None:
         """Hand on an engine's own refusal, such as a bad field."""
         body = await read_all(found)
         if self._exchange.started:
@@ -198,31 +204,31 @@
             )
         await self._exchange.respond(
             found.status_code,
-            found.headers.get('content-type', JSON),
+            found.headers.get('content-type', JSON_TYPE),
             body,
-            answer_headers(self._request),
+            response_headers(self._request),
         )
 
-    async def _start(self) -> None:
+    async def _start_response(self) -> None:
         if self._exchange.started:
             return
         headers = [
-            (b'content-type', EVENT_STREAM),
+            (b'content-type', EVENT_STREAM_TYPE),
             (b'cache-control', b'no-cache'),
-            *answer_headers(self._request),
+            *response_headers(self._request),
         ]
         await self._exchange.start(200, headers)
 
-    async def _copy(
+    async def _forward_stream(
         self,
         found: httpx.Response,
-        guard: Guard,
+        guard: StallTimeout,
         tried: tries.Try,
         bill_part: collections.abc.Callable[[], None],
     ) -> None:
-        answer = self.answer
+        answer = self.response
         write = self._exchange.write
-        bill_at = answer.tokens + BILL_STEP_TOKENS
+        bill_at = answer.delivered_tokens + BILLING_STEP_TOKENS
         first = True
         async for data in found.stream:
             out = answer.feed(data)
@@ -230,28 +236,28 @@
                 if first:
                     first = False
                     tried.first_token()
-                guard.caller_waits = True
+                guard.waiting_for_caller = True
                 await write(out)
-            guard.progress()
-            if answer.tokens >= bill_at:
-                bill_at += BILL_STEP_TOKENS
+            guard.record_progress()
+            if answer.delivered_tokens >= bill_at:
+                bill_at += BILLING_STEP_TOKENS
                 bill_part()
 
-    def _bill_part(self, tried: tries.Try) -> None:
+    def _bill_delivered(self, tried: tries.Try) -> None:
         """Count what was delivered of an answer before its end.
 
         What is not counted is lost if this VM is killed, and a stream may
         run for minutes. It is a little less than was delivered, since an
         engine may send an event without a token.
         """
-        made = self.answer.run_tokens
-        steps = -(-made // BILL_STEP_TOKENS)
-        tokens = made - BILL_STEP_MARGIN * steps - self._billed
+        made = self.response.attempt_tokens
+        steps = -(-made // BILLING_STEP_TOKENS)
+        tokens = made - BILLING_MARGIN_TOKENS * steps - self._billed_tokens
         if tokens <= 0:
             return
-        self._billed += tokens
+        self._billed_tokens += tokens
         used = streams.Usage(output_tokens=tokens)
-        bill(self._node, self._request, tried, used)
+        record_usage(self._node, self._request, tried, used)
 
     async def run(self, attempt: tries.Attempt) -> streams.Usage:
         """Stream the whole answer; raise RequestError if it can't be had.
@@ -260,11 +266,11 @@
         """
         usage = await tries.run(self._node, self._request, attempt)
         if not self._exchange.ended:
-            await self._exchange.end(self.answer.ending())
+            await self._exchange.end(self.response.final_events())
         return usage
 
 
-class Whole:
+class BufferedRelay:
     """An answer that is sent at once when it is complete."""
 
     def __init__(
@@ -279,7 +285,7 @@
         self._completion = completion
         self._model = model
         self.status = 0
-        self.content_type = JSON
+        self.content_type = JSON_TYPE
         self.body = b''
 
     async def attempt(self, tried: tries.Try) -> streams.Usage:
@@ -293,7 +299,7 @@
         async with open_response(node, outgoing, left_s) as (found, _):
             check_status(found)
             self.status = found.status_code
-            self.content_type = found.headers.get('content-type', JSON)
+            self.content_type = found.headers.get('content-type', JSON_TYPE)
             self.body = await read_all(found)
         tried.first_token()
         if self.status != 200:
@@ -304,7 +310,7 @@
             raise errors.UpstreamError(
                 'the answer is not whole', verdicts.Verdict.MAY_HAVE_RUN
             ) from error
-        bill(node, self._request, tried, usage)
+        record_usage(node, self._request, tried, usage)
         return usage
 
     async def run(self, attempt: tries.Attempt) -> streams.Usage:
@@ -315,6 +321,6 @@
         return await tries.run(self._node, self._request, attempt)
 
 
-def answer_headers(request: requests.Request) -> exchanges.Headers:
+def response_headers(request: requests.Request) -> exchanges.Headers:
     """Return the headers that every answer of ours carries."""
     return [(b'x-request-id', request.request_id.encode())]
--- a/gentianstair/entry/request.py
+++ b/gentianstair/entry/request.py
@@ -18,4 +18,4 @@
     caller: callers.Caller
     work: works.Work
     bundle: messages.BundleValue | None
-    service: bool = False
+    is_service: bool = False
--- a/gentianstair/entry/services.py
+++ b/gentianstair/entry/services.py
@@ -19,15 +19,15 @@
 from gentianstair.entry import streams
 from gentianstair.entry import tries
 
-PREFIX = '/services/'
+PATH_PREFIX = '/services/'
 HEDGES = prometheus_client.Counter(
     'gentianstair_hedges', 'Copies sent of slow look-ups', ['service']
 )
 IDEMPOTENCY_HEADER = 'idempotency-key'
-MAX_KEY_LENGTH = 255
+MAX_IDEMPOTENCY_KEY_LENGTH = 255
 REPEATABLE_METHODS = frozenset({'GET', 'HEAD', 'OPTIONS'})
-METHODS = REPEATABLE_METHODS | {'POST', 'PUT', 'PATCH', 'DELETE'}
-REPLAYED = (b'idempotency-replayed', b'true')
+ALLOWED_METHODS = REPEATABLE_METHODS | {'POST', 'PUT', 'PATCH', 'DELETE'}
+REPLAYED_HEADER = (b'idempotency-replayed', b'true')
 # Headers between two hops (RFC 9110, 7.6.1), those that name the caller's
 # key, and those this relay sets itself; none of them goes on.
 DROPPED_HEADERS = frozenset(
@@ -52,10 +52,10 @@
         b'x-request-timeout-s',
     }
 )
-DROPPED_ANSWER_HEADERS = DROPPED_HEADERS | {b'date', b'server'}
+DROPPED_RESPONSE_HEADERS = DROPPED_HEADERS | {b'date', b'server'}
 
 
-class Call(typing.NamedTuple):
+class ServiceCall(typing.NamedTuple):
     """A call of a plain service."""
 
     service: str
@@ -71,7 +71,7 @@
         return self.method in REPEATABLE_METHODS
 
 
-class Reply(typing.NamedTuple):
+class ServiceResponse(typing.NamedTuple):
     """What a service answered."""
 
     status: int
@@ -96,11 +96,12 @@
 
 def _idempotency_key(exchange: exchanges.Exchange) -> str | None:
     key = exchange.header(IDEMPOTENCY_HEADER)
-    if key is not None and not 0 < len(key) <= MAX_KEY_LENGTH:
+    if key is not None and not 0 < len(key) <= MAX_IDEMPOTENCY_KEY_LENGTH:
         raise errors.RequestError(
             400,
             'bad-idempotency-key',
-            f'an idempotency key has 1 to {MAX_KEY_LENGTH} characters',
+            'an idempotency key has 1 to '
+            f'{MAX_IDEMPOTENCY_KEY_LENGTH} characters',
         )
     return key
 
@@ -114,7 +115,7 @@
     return f'service:{service}'
 
 
-def check_known(node: nodes.Node, service: str) -> None:
+def check_service_exists(node: nodes.Node, service: str) -> None:
     """Raise RequestError with 404 if no upstream serves a service."""
     if not node.router.subset(routing_name(service)):
         raise errors.RequestError(
@@ -140,19 +141,19 @@
     return f'{target}?{text}'
 
 
-def parse(exchange: exchanges.Exchange, body: bytes) -> Call:
+def parse(exchange: exchanges.Exchange, body: bytes) -> ServiceCall:
     """Return the call; raise RequestError with 400, 404 or 405."""
-    if exchange.method not in METHODS:
+    if exchange.method not in ALLOWED_METHODS:
         raise errors.RequestError(
             405,
             'method-not-allowed',
-            f'use one of {", ".join(sorted(METHODS))}',
+            f'use one of {", ".join(sorted(ALLOWED_METHODS))}',
         )
-    service, _, path = exchange.path[len(PREFIX) :].partition('/')
+    service, _, path = exchange.path[len(PATH_PREFIX) :].partition('/')
     if not service:
         raise errors.RequestError(404, 'no-such-service', 'no service named')
     target = _target(path, exchange.query)
-    return Call(
+    return ServiceCall(
         service,
         target,
         exchange.method,
@@ -162,27 +163,27 @@
     )
 
 
-def digest(call: Call) -> str:
+def call_digest(call: ServiceCall) -> str:
     """Return what tells two different calls under one key apart."""
     parts = [call.method.encode(), call.path.encode(), call.body]
     return hashlib.sha256(b'\0'.join(parts)).hexdigest()
 
 
-class Relay:
+class ServiceRelay:
     """One call on its way to a service and back."""
 
     def __init__(
         self,
         node: nodes.Node,
         request: requests.Request,
-        call: Call,
+        call: ServiceCall,
         claim: claimses.ClaimResult | None,
     ) -> None:
         self._node = node
         self._request = request
         self._call = call
         self._claim = claim
-        self.reply: Reply | None = None
+        self.response: ServiceResponse | None = None
 
     def _outgoing(self, tried: tries.Try) -> httpx.Request:
         call = self._call
@@ -212,11 +213,15 @@
         left_s = self._request.work.deadline_s - self._node.clock()
         opened = relay.open_response(self._node, outgoing, left_s)
         async with opened as (found, _):
-            if self._call.repeatable or found.headers.get(relay.NOT_STARTED):
+            if self._call.repeatable or found.headers.get(
+                relay.NOT_STARTED_HEADER
+            ):
                 relay.check_status(found)
             body = await relay.read_all(found)
-            headers = _kept_headers(found.headers.raw, DROPPED_ANSWER_HEADERS)
-            self.reply = Reply(found.status_code, headers, body)
+            headers = _kept_headers(
+                found.headers.raw, DROPPED_RESPONSE_HEADERS
+            )
+            self.response = ServiceResponse(found.status_code, headers, body)
         self._node.usage.count(
             self._request.caller.customer,
             tried.upstream['capacity_class'],
@@ -230,7 +235,7 @@
     return errors.RequestError(409, kind, detail, verdict)
 
 
-def _settled(found: claimses.ClaimResult) -> Reply:
+def _settled(found: claimses.ClaimResult) -> ServiceResponse:
     """Return the first outcome of a claimed call, or raise what is known."""
     state = claim_shard.State
     if found.state is state.MISMATCH:
@@ -243,7 +248,9 @@
         headers = [
             (name.encode(), value.encode()) for name, value in found.headers
         ]
-        return Reply(found.status, [*headers, REPLAYED], found.body)
+        return ServiceResponse(
+            found.status, [*headers, REPLAYED_HEADER], found.body
+        )
     if found.state is state.FINISHED:
         raise _conflict(
             'outcome-not-kept',
@@ -262,11 +269,11 @@
 
 
 async def _claimed(
-    node: nodes.Node, request: requests.Request, call: Call
-) -> Reply:
+    node: nodes.Node, request: requests.Request, call: ServiceCall
+) -> ServiceResponse:
     """Make an unrepeatable call under its idempotency key."""
     found = await node.claims.claim(
-        request.caller.customer, call.idempotency_key, digest(call)
+        request.caller.customer, call.idempotency_key, call_digest(call)
     )
     node.explanations.add(
         request.request_id,
@@ -291,19 +298,19 @@
 async def _once(
     node: nodes.Node,
     request: requests.Request,
-    call: Call,
+    call: ServiceCall,
     claim: claimses.ClaimResult | None,
     trying: set[str] | None = None,
-) -> Reply:
-    made = Relay(node, request, call, claim)
+) -> ServiceResponse:
+    made = ServiceRelay(node, request, call, claim)
     await tries.run(node, request, made.attempt, trying)
-    assert made.reply is not None
-    return made.reply
+    assert made.response is not None
+    return made.response
 
 
 async def _hedged(
-    node: nodes.Node, request: requests.Request, call: Call
-) -> Reply:
+    node: nodes.Node, request: requests.Request, call: ServiceCall
+) -> ServiceResponse:
     """Make a look-up, and a copy of it elsewhere if it takes long.
 
     The first answer counts and ends the other copy.
@@ -312,7 +319,7 @@
     if delay_s is None:
         return await _once(node, request, call, None)
     trying: set[str] = set()
-    replies: list[Reply] = []
+    replies: list[ServiceResponse] = []
     failures: list[errors.RequestError] = []
 
     async def copy(scope: trio.CancelScope) -> None:
@@ -343,8 +350,8 @@
 
 
 async def run(
-    node: nodes.Node, request: requests.Request, call: Call
-) -> Reply:
+    node: nodes.Node, request: requests.Request, call: ServiceCall
+) -> ServiceResponse:
     """Return the service's answer; raise RequestError with the verdict.
 
     Without an idempotency key an unrepeatable call is tried once.
--- a/gentianstair/entry/streams.py
+++ b/gentianstair/entry/streams.py
@@ -10,12 +10,12 @@
 from gentianstair.generated import messages
 
 # More than any engine can have counted for one request.
-MAX_TOKENS = 2**40
+MAX_TOKEN_COUNT = 2**40
 EVENT_END = b'\n\n'
-DATA = b'data: '
-DONE = b'data: [DONE]\n\n'
-_USAGE = b'"usage"'
-_FINISHED = (b'"finish_reason": "', b'"finish_reason":"')
+DATA_PREFIX = b'data: '
+DONE_EVENT = b'data: [DONE]\n\n'
+_USAGE_MARKER = b'"usage"'
+_FINISH_MARKERS = (b'"finish_reason": "', b'"finish_reason":"')
 
 
 class Usage(typing.NamedTuple):
@@ -37,19 +37,19 @@
     try:
         checked = msgspec.convert(found, messages.TokenUsage)
     except msgspec.ValidationError as error:
-        raise _bad_usage(str(error)) from error
+        raise _invalid_usage(str(error)) from error
     details = checked.get('prompt_tokens_details') or {}
     usage = Usage(
         checked.get('prompt_tokens') or 0,
         checked.get('completion_tokens') or 0,
         details.get('cached_tokens') or 0,
     )
-    if not all(0 <= count <= MAX_TOKENS for count in usage):
-        raise _bad_usage('a count is out of bounds')
+    if not all(0 <= count <= MAX_TOKEN_COUNT for count in usage):
+        raise _invalid_usage('a count is out of bounds')
     return usage
 
 
-def _bad_usage(why: str) -> errors.UpstreamError:
+def _invalid_usage(why: str) -> errors.UpstreamError:
     return errors.UpstreamError(
         f'usage of another shape: {why}', verdicts.Verdict.MAY_HAVE_RUN
     )
@@ -72,10 +72,10 @@
     a call of a tool: an engine that goes on after the text alone would
     repeat or lose the rest, and the caller would take that for an answer.
     """
-    if not event.startswith(DATA):
+    if not event.startswith(DATA_PREFIX):
         return ''
     try:
-        body = json.loads(event[len(DATA) :])
+        body = json.loads(event[len(DATA_PREFIX) :])
         choices = body.get('choices') or []
         if not choices:
             return ''
@@ -90,7 +90,7 @@
     return text
 
 
-class Answer:
+class StreamedResponse:
     """A streamed answer as it passes through.
 
     Only whole events are handed on, so that what the caller has is always
@@ -103,11 +103,11 @@
         self._wants_usage = wants_usage
         self._events: list[bytes] = []
         self._partial = b''
-        self._tokens_before = 0
-        self.tokens = 0
+        self._earlier_tokens = 0
+        self.delivered_tokens = 0
         self.usage: Usage | None = None
-        self.finished = False
-        self.done = False
+        self.has_finish_reason = False
+        self.end_received = False
 
     def feed(self, data: bytes) -> bytes:
         """Return what may go to the caller of what the engine sent."""
@@ -121,31 +121,31 @@
                 return b''
             self._partial = data[cut:]
             data = data[:cut]
-        if _USAGE in data or b'[DONE]' in data:
-            data = self._take_ending(data)
-        elif any(mark in data for mark in _FINISHED):
-            self.finished = True
-        self.tokens += data.count(DATA)
+        if _USAGE_MARKER in data or b'[DONE]' in data:
+            data = self._extract_ending(data)
+        elif any(mark in data for mark in _FINISH_MARKERS):
+            self.has_finish_reason = True
+        self.delivered_tokens += data.count(DATA_PREFIX)
         self._events.append(data)
         return data
 
-    def _take_ending(self, data: bytes) -> bytes:
+    def _extract_ending(self, data: bytes) -> bytes:
         """Take usage and the end out of the last events of a stream."""
         kept = []
         for event in data.split(EVENT_END)[:-1]:
             if event == b'data: [DONE]':
-                self.done = True
-            elif _USAGE in event and self._take_usage(event):
+                self.end_received = True
+            elif _USAGE_MARKER in event and self._record_usage(event):
                 pass
             else:
-                if any(mark in event for mark in _FINISHED):
-                    self.finished = True
+                if any(mark in event for mark in _FINISH_MARKERS):
+                    self.has_finish_reason = True
                 kept.append(event + EVENT_END)
         return b''.join(kept)
 
-    def _take_usage(self, event: bytes) -> bool:
+    def _record_usage(self, event: bytes) -> bool:
         try:
-            body = json.loads(event[len(DATA) :])
+            body = json.loads(event[len(DATA_PREFIX) :])
         except ValueError:
             return False
         if not isinstance(body, dict) or not body.get('usage'):
@@ -160,66 +160,66 @@
         Raise RequestError if more than text was delivered.
         """
         self._partial = b''
-        self._tokens_before = self.tokens
+        self._earlier_tokens = self.delivered_tokens
         events = b''.join(self._events).split(EVENT_END)
         return ''.join(_event_text(event) for event in events)
 
     @property
-    def run_tokens(self) -> int:
+    def attempt_tokens(self) -> int:
         """Return how many tokens the present run has delivered."""
-        return self.tokens - self._tokens_before
+        return self.delivered_tokens - self._earlier_tokens
 
-    def run_usage(self, prompt_tokens: int) -> Usage:
+    def attempt_usage(self, prompt_tokens: int) -> Usage:
         """Return what the present run is billed for.
 
         The prompt is billed once, with the run that began the answer; a
         lost engine can no longer tell its count, so prompt_tokens and what
         was delivered stand for it.
         """
-        made = self.run_tokens
+        made = self.attempt_tokens
         if self.usage is not None:
             found = self.usage
         else:
             found = Usage(prompt_tokens if made else 0, made, 0)
-        if self._tokens_before:
+        if self._earlier_tokens:
             found = Usage(0, found.output_tokens, 0)
         return found
 
-    def total(self) -> Usage:
+    def total_usage(self) -> Usage:
         """Return the usage of all runs together.
 
         Tokens of a lost run are counted as delivered: its engine can no
         longer tell.
         """
         if self.usage is None:
-            return Usage(0, self.tokens, 0)
-        made = self._tokens_before + self.usage.output_tokens
+            return Usage(0, self.delivered_tokens, 0)
+        made = self._earlier_tokens + self.usage.output_tokens
         return self.usage._replace(output_tokens=made)
 
-    def ending(self) -> bytes:
+    def final_events(self) -> bytes:
         """Return the last events of the whole answer.
 
         Raise UpstreamError when the engine ended before its answer did.
         """
-        if not self.done or self._partial:
+        if not self.end_received or self._partial:
             raise errors.UpstreamError(
                 'the stream ended before the answer',
                 verdicts.Verdict.MAY_HAVE_RUN,
             )
         if self.usage is None or not self._wants_usage:
-            return DONE
-        total = self.total()
+            return DONE_EVENT
+        total = self.total_usage()
         usage = {
             **self._usage_body['usage'],
             'completion_tokens': total.output_tokens,
             'total_tokens': total.prompt_tokens + total.output_tokens,
         }
         body = {**self._usage_body, 'usage': usage}
-        return DATA + json.dumps(body).encode() + EVENT_END + DONE
+        return DATA_PREFIX + json.dumps(body).encode() + EVENT_END + DONE_EVENT
 
 
 def error_event(error: errors.RequestError, request_id: str) -> bytes:
     """Return the event that ends a stream which cannot be completed."""
     problem = {**error.to_problem(), 'request_id': request_id}
     body = {'error': {**problem, 'message': error.detail}}
-    return DATA + json.dumps(body).encode() + EVENT_END
+    return DATA_PREFIX + json.dumps(body).encode() + EVENT_END
--- a/gentianstair/entry/upkeep.py
+++ b/gentianstair/entry/upstream_monitor.py
@@ -15,10 +15,10 @@
 from gentianstair.entry import services
 from gentianstair.generated import messages
 
-LOAD_INTERVAL_S = 0.5
+LOAD_POLL_INTERVAL_S = 0.5
 LOAD_TIMEOUT_S = 2.0
-EVENTS_WAIT_S = 2.0
-EVENTS_INTERVAL_S = 0.05
+EVENTS_LONG_POLL_S = 2.0
+EVENTS_POLL_INTERVAL_S = 0.05
 RETRY_S = 1.0
 HTTP_OK = 200
 STATE_ACTIVE = 'active'
@@ -71,7 +71,7 @@
     return found
 
 
-def decode(body: bytes, kind: type) -> typing.Any:
+def decode_report(body: bytes, kind: type) -> typing.Any:
     """Return what an engine published; raise DecodeError if it is odd."""
     try:
         return msgspec.json.decode(body, type=kind)
@@ -88,7 +88,7 @@
         return await relay.read_all(found)
 
 
-async def repeat(
+async def poll_forever(
     read: collections.abc.Callable[[], collections.abc.Awaitable[None]],
     name: str,
     interval_s: float,
@@ -111,10 +111,10 @@
 async def _follow_load(node: nodes.Node, name: str, url: str) -> None:
     async def read() -> None:
         body = await _get(node, f'{url}/load', LOAD_TIMEOUT_S)
-        report = decode(body, messages.LoadReport)
+        report = decode_report(body, messages.LoadReport)
         node.router.on_load(name, report, node.clock())
 
-    await repeat(read, name, LOAD_INTERVAL_S)
+    await poll_forever(read, name, LOAD_POLL_INTERVAL_S)
 
 
 async def _follow_cache(node: nodes.Node, name: str, url: str) -> None:
@@ -122,9 +122,11 @@
 
     async def read() -> None:
         nonlocal after
-        path = f'/cache-events?after={after}&wait_s={EVENTS_WAIT_S}'
-        body = await _get(node, url + path, EVENTS_WAIT_S + LOAD_TIMEOUT_S)
-        found = decode(body, messages.CacheEvents)
+        path = f'/cache-events?after={after}&wait_s={EVENTS_LONG_POLL_S}'
+        body = await _get(
+            node, url + path, EVENTS_LONG_POLL_S + LOAD_TIMEOUT_S
+        )
+        found = decode_report(body, messages.CacheEvents)
         events = found['events']
         gap = bool(events) and events[0]['seq'] > after + 1
         # An engine that started anew counts from the start again.
@@ -132,7 +134,7 @@
         after = found['next']
         node.router.on_cache_events(name, events, gap)
 
-    await repeat(read, name, EVENTS_INTERVAL_S)
+    await poll_forever(read, name, EVENTS_POLL_INTERVAL_S)
 
 
 async def _follow(node: nodes.Node, name: str, url: str) -> None:
--- a/gentianstair/entry/usage.py
+++ b/gentianstair/entry/usage.py
@@ -20,10 +20,10 @@
 PROGRESS_NAME = 'current'
 PURPOSE = 'usage'
 # Rows of windows that were sealed so many windows ago are forgotten.
-KEEP_WINDOWS = 3
+KEPT_WINDOWS = 3
 RETRY_S = 0.5
 
-EXPOSED_TOKENS = prometheus_client.Gauge(
+UNFLUSHED_TOKENS = prometheus_client.Gauge(
     'gentianstair_usage_unflushed_tokens',
     'Tokens counted that would be lost if this VM were killed now',
 )
@@ -31,18 +31,18 @@
     'gentianstair_usage_flushes', 'Writes of usage counts', ['outcome']
 )
 
-Wall = collections.abc.Callable[[], float]
+WallClock = collections.abc.Callable[[], float]
 
 
-class Terms(typing.NamedTuple):
+class UsageSettings(typing.NamedTuple):
     """How usage is cut into windows and how soon it is flushed."""
 
     window_s: float
-    flush_s: float
-    flush_tokens: int
+    flush_interval_s: float
+    max_unflushed_tokens: int
 
 
-class Usage:
+class UsageRecorder:
     """The counts of one run of an entry, its incarnation.
 
     Counts only grow, and only this process writes its object, so a write
@@ -50,12 +50,16 @@
     """
 
     def __init__(
-        self, store: stores.Store, vm_name: str, wall: Wall, terms: Terms
+        self,
+        store: stores.Store,
+        vm_name: str,
+        wall: WallClock,
+        settings: UsageSettings,
     ) -> None:
         self._store = store
         self._vm_name = vm_name
         self._wall = wall
-        self._terms = terms
+        self._settings = settings
         self._rows: dict[usage_rows.Key, messages.UsageRow] = {}
         self._flushed: dict[usage_rows.Key, messages.UsageRow] = {}
         # Rows of writes whose answers were lost, by nonce.
@@ -66,7 +70,7 @@
         self._lock = trio.Lock()
         self._closed_below = 0
         self.unflushed_tokens = 0
-        self.changed = False
+        self.has_unflushed = False
         self._begin_incarnation()
 
     def _begin_incarnation(self) -> None:
@@ -85,10 +89,10 @@
         """Count usage in the present window.
 
         A stream should be counted piece by piece as it is relayed, and
-        before each write (see relaying): what is not counted yet is lost
+        before each write (see track_stream): what is not counted yet is lost
         when this VM is killed.
         """
-        window = int(self._wall() // self._terms.window_s)
+        window = int(self._wall() // self._settings.window_s)
         window = max(window, self._closed_below)
         row: messages.UsageRow = {
             'window': window,
@@ -101,14 +105,14 @@
         key = usage_rows.key_of(row)
         known = self._rows.get(key)
         self._rows[key] = row if known is None else usage_rows.plus(known, row)
-        self.changed = True
+        self.has_unflushed = True
         self.unflushed_tokens += prompt_tokens + output_tokens
-        EXPOSED_TOKENS.set(self.unflushed_tokens)
-        if self.unflushed_tokens >= self._terms.flush_tokens:
+        UNFLUSHED_TOKENS.set(self.unflushed_tokens)
+        if self.unflushed_tokens >= self._settings.max_unflushed_tokens:
             self._full.set()
 
     @contextlib.contextmanager
-    def relaying(
+    def track_stream(
         self, count_part: collections.abc.Callable[[], None]
     ) -> collections.abc.Iterator[None]:
         """Have a stream's part counted before each write in this context."""
@@ -121,7 +125,7 @@
     async def run(self) -> None:
         """Flush until cancelled."""
         while True:
-            with trio.move_on_after(self._terms.flush_s):
+            with trio.move_on_after(self._settings.flush_interval_s):
                 await self._full.wait()
             self._full = trio.Event()
             try:
@@ -139,16 +143,16 @@
         async with self._lock:
             for count_part in self._relayed:
                 count_part()
-            if not self.changed:
+            if not self.has_unflushed:
                 return
             rows = dict(self._rows)
             tokens = self.unflushed_tokens
             await self._write(rows)
             FLUSHES.labels('done').inc()
             self._flushed = rows
-            self.changed = self._rows != rows
+            self.has_unflushed = self._rows != rows
             self.unflushed_tokens -= tokens
-            EXPOSED_TOKENS.set(self.unflushed_tokens)
+            UNFLUSHED_TOKENS.set(self.unflushed_tokens)
 
     async def _write(self, rows: dict) -> None:
         value: messages.UsageValue = {
@@ -205,8 +209,8 @@
 
     async def _forget_sealed(self) -> None:
         """Drop rows of windows sealed long ago, once they are accounted."""
-        now = int(self._wall() // self._terms.window_s)
-        if all(key[0] >= now - KEEP_WINDOWS for key in self._rows):
+        now = int(self._wall() // self._settings.window_s)
+        if all(key[0] >= now - KEPT_WINDOWS for key in self._rows):
             return
         item = await self._store.get(
             PROGRESS_KIND, PROGRESS_NAME, purpose=PURPOSE
@@ -219,7 +223,7 @@
             return
         seal = msgspec.convert(found.value, messages.SealValue)
         accounted = seal['accounted'].get(self.incarnation, [])
-        limit = seal['window'] - KEEP_WINDOWS
+        limit = seal['window'] - KEPT_WINDOWS
         for row in accounted:
             key = usage_rows.key_of(row)
             if row['window'] < limit and self._rows.get(key) == row:
@@ -227,14 +231,14 @@
                 # would look smaller than what is accounted.
                 self._closed_below = max(self._closed_below, limit)
                 del self._rows[key]
-                self.changed = True
+                self.has_unflushed = True
 
 
-def make_usage(
-    store: stores.Store, vm_name: str, wall: Wall, terms: Terms
-) -> Usage:
+def make_usage_recorder(
+    store: stores.Store, vm_name: str, wall: WallClock, settings: UsageSettings
+) -> UsageRecorder:
     """Return the counts of a new incarnation; its run must be running.
 
     wall returns seconds since 1970, for example ``time.time``.
     """
-    return Usage(store, vm_name, wall, terms)
+    return UsageRecorder(store, vm_name, wall, settings)
--- a/gentianstair/ui/commands/key.py
+++ b/gentianstair/ui/commands/key.py
@@ -89,7 +89,7 @@
     if customer.value is None:
         raise errors.UserError(f'customer {command.customer} does not exist')
     secret = SECRET_PREFIX + secrets.token_urlsafe(SECRET_BYTES)
-    name = callers.digest(secret)
+    name = callers.digest_key(secret)
     value: messages.KeyValue = {
         'customer': command.customer,
         'label': command.label,
--- a/test/control/test_planning.py
+++ b/test/control/test_planning.py
@@ -58,8 +58,8 @@
     store = memory_store.MemoryStore()
     orders = RecordedOrders()
     context = make_context(store, orders)
-    counts = usage.make_usage(
-        store, 'vm', trio.current_time, usage.Terms(60.0, 1.0, 10**9)
+    counts = usage.make_usage_recorder(
+        store, 'vm', trio.current_time, usage.UsageSettings(60.0, 1.0, 10**9)
     )
     authority = lease.Authority('engines-north', 'me', 1, context.clock)
     duty = planning.RoleDuty()
--- a/test/control/test_usage.py
+++ b/test/control/test_usage.py
@@ -16,7 +16,7 @@
 from standins import memory_store
 
 WINDOW_S = 10.0
-ENTRY_TERMS = entry_usage.Terms(WINDOW_S, 1.0, 500)
+ENTRY_TERMS = entry_usage.UsageSettings(WINDOW_S, 1.0, 500)
 SEAL_TIMING = usage_sealer.SealTiming(WINDOW_S, 0.0, 0.5)
 COUNTING_S = 200.0
 SEALING_S = 150.0
@@ -57,7 +57,7 @@
         with trio.move_on_after(world.random.uniform(5.0, 90.0)):
             async with trio.open_nursery() as nursery:
                 process = chaos.Process(world, name, CHANCES)
-                counts = entry_usage.make_usage(
+                counts = entry_usage.make_usage_recorder(
                     chaos.ChaosStore(process),
                     name,
                     trio.current_time,
@@ -214,7 +214,7 @@
     counts that it had not written.
     """
     store = memory_store.MemoryStore()
-    counts = entry_usage.make_usage(
+    counts = entry_usage.make_usage_recorder(
         store, 'vm', trio.current_time, ENTRY_TERMS
     )
     counts.count('c', 'spot', output_tokens=5)
@@ -234,7 +234,7 @@
 async def test_running_streams_are_counted_at_each_flush(autojump_clock):
     # Guards against losing the usage of a long stream when its process dies.
     store = memory_store.MemoryStore()
-    counts = entry_usage.make_usage(
+    counts = entry_usage.make_usage_recorder(
         store, 'vm', trio.current_time, ENTRY_TERMS
     )
 
@@ -245,7 +245,7 @@
         found = store.table.get('usage', counts.incarnation)
         return sum_tokens(found.value['rows']) if found.value else {}
 
-    with counts.relaying(count_part):
+    with counts.track_stream(count_part):
         await counts.flush()
         assert stored_tokens() == {('c', 'spot'): 3}
         await counts.flush()
--- a/test/entry/test_bad_input.py
+++ b/test/entry/test_bad_input.py
@@ -19,7 +19,7 @@
 from gentianstair.entry import completions
 from gentianstair.entry import main
 from gentianstair.entry import services
-from gentianstair.entry import upkeep
+from gentianstair.entry import upstream_monitor
 from gentianstair.generated import settings as generated
 from gentianstair.store import store
 from gentianstair.util import serving
@@ -130,9 +130,9 @@
     values = {
         ('customer', 'ours'): CUSTOMER,
         ('customer', 'off'): {**CUSTOMER, 'enabled': False},
-        ('key', callers.digest(KEY)): key,
-        ('key', callers.digest('gst_gone')): {**key, 'revoked': True},
-        ('key', callers.digest('gst_off')): {**key, 'customer': 'off'},
+        ('key', callers.digest_key(KEY)): key,
+        ('key', callers.digest_key('gst_gone')): {**key, 'revoked': True},
+        ('key', callers.digest_key('gst_off')): {**key, 'customer': 'off'},
         ('bundle', '1'): bundle,
         ('accepted', 'current'): {'number': 1},
         ('upstream', 'e'): {**upstream, 'type': 'engine', 'models': ['base']},
@@ -235,7 +235,7 @@
         port = listeners[0].socket.getsockname()[1]
         nursery.start_soon(trio.serve_listeners, upstream.serve, listeners)
         node.view.apply(objects(f'http://127.0.0.1:{port}'))
-        upkeep.apply_upstreams(node)
+        upstream_monitor.apply_upstreams(node)
         sock = serving.listen('127.0.0.1:0')
         port = sock.getsockname()[1]
         app = apps.create_app(node, trio.Event())
@@ -710,7 +710,7 @@
 )
 def test_any_service_path_is_carried_or_refused(path, query, headers):
     scope = {
-        'path': services.PREFIX + path,
+        'path': services.PATH_PREFIX + path,
         'method': 'POST',
         'query_string': query,
         'headers': headers,
--- a/test/entry/test_hedging.py
+++ b/test/entry/test_hedging.py
@@ -77,11 +77,11 @@
         asked.append(tried.name)
         late = len(asked) <= slow
         await trio.sleep(30.0 if late else QUICK_S)
-        self.reply = services.Reply(200, [], tried.name.encode())
+        self.response = services.ServiceResponse(200, [], tried.name.encode())
         return services.streams.Usage()
 
-    monkeypatch.setattr(services.Relay, 'attempt', attempt)
-    call = services.Call('stock', '/a', method, [], b'', None)
+    monkeypatch.setattr(services.ServiceRelay, 'attempt', attempt)
+    call = services.ServiceCall('stock', '/a', method, [], b'', None)
     caller = callers.Caller('c', 'digest')
     item = work.Work('r', 'c', 'stock', 1, 1, 1e6, repeatable=call.repeatable)
     request = requests.Request('r', caller, item, None)
@@ -105,9 +105,9 @@
         await trio.sleep(1.0)
         raise errors.UpstreamError('lost', verdicts[tried.name == 's2'])
 
-    monkeypatch.setattr(services.Relay, 'attempt', attempt)
+    monkeypatch.setattr(services.ServiceRelay, 'attempt', attempt)
     monkeypatch.setattr(retries, 'MOST_ATTEMPTS', 1)
-    call = services.Call('stock', '/a', 'GET', [], b'', None)
+    call = services.ServiceCall('stock', '/a', 'GET', [], b'', None)
     caller = callers.Caller('c', 'digest')
     item = work.Work('r', 'c', 'stock', 1, 1, 1e6)
     request = requests.Request('r', caller, item, None)
--- a/test/entry/test_streams_fuzz.py
+++ b/test/entry/test_streams_fuzz.py
@@ -39,15 +39,15 @@
 
 def read(parts, ended=b'\n\n'):
     """Return all that a stream says, or why it is not an answer."""
-    answer = streams.Answer(True)
+    answer = streams.StreamedResponse(True)
     out = []
     try:
         for part in parts:
             out.append(answer.feed(part))
         out.append(answer.feed(ended))
-        usage = answer.run_usage(3)
+        usage = answer.attempt_usage(3)
         text = answer.resume_text()
-        whole = (usage, answer.ending())
+        whole = (usage, answer.final_events())
     except (errors.UpstreamError, errors.RequestError) as error:
         return str(error)
     return b''.join(out), text, usage, whole
@@ -122,7 +122,7 @@
     one choice. The next engine is told the text alone and begins the rest
     anew, behind what the caller already has.
     """
-    answer = streams.Answer(False)
+    answer = streams.StreamedResponse(False)
     event = json.dumps({'choices': choices}).encode()
     answer.feed(b'data: ' + event + b'\n\n')
     if text is not None:
--- a/test/entry/test_upkeep.py
+++ b/test/entry/test_upstream_monitor.py
@@ -6,7 +6,7 @@
 import trio
 
 from gentianstair import errors
-from gentianstair.entry import upkeep
+from gentianstair.entry import upstream_monitor
 from gentianstair.generated import messages
 
 GOOD_LOAD = {
@@ -38,11 +38,13 @@
     # The KeyError ended the task that read it, and with it the whole entry
     # process: one odd engine took every VM that followed it out of service.
     with pytest.raises(errors.DecodeError):
-        upkeep.decode(body, messages.LoadReport)
+        upstream_monitor.decode_report(body, messages.LoadReport)
 
 
 def test_unknown_fields_are_ignored():
-    found = upkeep.decode(json.dumps(GOOD_LOAD).encode(), messages.LoadReport)
+    found = upstream_monitor.decode_report(
+        json.dumps(GOOD_LOAD).encode(), messages.LoadReport
+    )
     assert found['running'] == 1
     assert 'newer_field' not in found
 
@@ -57,5 +59,9 @@
         raise KeyboardInterrupt
 
     with pytest.raises(KeyboardInterrupt):
-        await upkeep.repeat(read, 'engine-1', 0.5)
-    assert calls == [0.0, upkeep.RETRY_S, 2 * upkeep.RETRY_S]
+        await upstream_monitor.poll_forever(read, 'engine-1', 0.5)
+    assert calls == [
+        0.0,
+        upstream_monitor.RETRY_S,
+        2 * upstream_monitor.RETRY_S,
+    ]
