--- a/gentianstair/entry/__init__.py
+++ b/gentianstair/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Serve callers: keys, admission, routing and relay."""
+"""Serve caller requests: keys, admission, routing and relaying."""
--- a/gentianstair/entry/app.py
+++ b/gentianstair/entry/app.py
@@ -1,4 +1,4 @@
-"""Offer what callers, the balancer and operators meet over HTTP."""
+"""ASGI and Quart applications of the entry process."""
 
 import collections.abc
 import typing
@@ -18,7 +18,7 @@
 from gentianstair.entry import services
 
 
-def _relayed(scope: dict[str, typing.Any]) -> bool:
+def _is_relayed(scope: dict[str, typing.Any]) -> bool:
     path = scope['path']
     if path in completions.PATHS:
         return scope['method'] == 'POST'
@@ -26,11 +26,13 @@
 
 
 class App:
-    """Relayed requests straight on ASGI, all others on Quart."""
+    """Serve relayed requests directly on ASGI and all others with Quart."""
 
-    def __init__(self, node: nodes.Node, other: quart_trio.QuartTrio) -> None:
+    def __init__(
+        self, node: nodes.Node, quart_app: quart_trio.QuartTrio
+    ) -> None:
         self._node = node
-        self._other = other
+        self._quart_app = quart_app
 
     async def __call__(
         self,
@@ -39,14 +41,14 @@
         send: collections.abc.Callable,
     ) -> None:
         """Serve one ASGI scope."""
-        if scope['type'] == 'http' and _relayed(scope):
+        if scope['type'] == 'http' and _is_relayed(scope):
             exchange = exchanges.Exchange(scope, receive, send)
             await handler.Handler(self._node, exchange).serve()
             return
-        await self._other(scope, receive, send)
+        await self._quart_app(scope, receive, send)
 
 
-def _problem(error: errors.RequestError) -> quart.Response:
+def _problem_response(error: errors.RequestError) -> quart.Response:
     body, headers = exchanges.problem_response(error, uuid.uuid4().hex)
     response = quart.Response(
         body, error.status, content_type='application/problem+json'
@@ -59,7 +61,7 @@
 def create_quart_app(
     node: nodes.Node, leaving: trio.Event
 ) -> quart_trio.QuartTrio:
-    """Return the application of the paths that are not relayed."""
+    """Return the application for the paths that are not relayed."""
     app = quart_trio.QuartTrio('gentianstair.entry')
 
     @app.get('/v1/models')
@@ -70,7 +72,7 @@
             )
             handler.check_fresh(node)
         except errors.RequestError as error:
-            return _problem(error)
+            return _problem_response(error)
         names = callers.list_models(node.view.bundle(), caller)
         rows = [
             {
@@ -85,11 +87,13 @@
 
     @app.errorhandler(404)
     async def not_found(_):
-        return _problem(errors.RequestError(404, 'no-such-path', 'no path'))
+        return _problem_response(
+            errors.RequestError(404, 'no-such-path', 'no path')
+        )
 
     @app.errorhandler(405)
     async def bad_method(_):
-        return _problem(
+        return _problem_response(
             errors.RequestError(405, 'method-not-allowed', 'other method')
         )
 
@@ -98,7 +102,7 @@
 
 
 def not_ready_reason(node: nodes.Node, leaving: trio.Event) -> str | None:
-    """Return why the balancer should not send here, or None."""
+    """Return why this VM is not ready for requests, or None if it is."""
     if leaving.is_set():
         return 'leaving'
     if node.view.bundle() is None:
@@ -111,7 +115,7 @@
 def add_health_routes(
     app: quart_trio.QuartTrio, node: nodes.Node, leaving: trio.Event
 ) -> None:
-    """Add health, readiness and metrics to app."""
+    """Add the health, readiness and metrics routes to app."""
 
     @app.get('/healthz')
     async def healthz():
@@ -133,5 +137,5 @@
 
 
 def create_app(node: nodes.Node, leaving: trio.Event) -> App:
-    """Return the application that callers meet."""
+    """Return the application of the caller API."""
     return App(node, create_quart_app(node, leaving))
--- a/gentianstair/entry/callers.py
+++ b/gentianstair/entry/callers.py
@@ -1,4 +1,4 @@
-"""Tell which customer a request is from, and what it may use."""
+"""Authenticate callers by API key and resolve the models they may use."""
 
 import hashlib
 import typing
@@ -11,14 +11,17 @@
 
 
 class Caller(typing.NamedTuple):
-    """The customer behind a request, by its key's digest."""
+    """An authenticated customer and the digest of the key it used."""
 
     customer: str
     key_digest: str
 
 
 class Model(typing.NamedTuple):
-    """What a public model name stands for in the bundle of one request."""
+    """A public model name, resolved by the bundle of one request.
+
+    ``cache_salt`` is empty if the model's customers share cached prefixes.
+    """
 
     name: str
     engine_model: str
@@ -28,7 +31,7 @@
 
 
 def digest_key(key: str) -> str:
-    """Return the name under which a key is kept.
+    """Return the SHA-256 hex digest under which a key is stored.
 
     >>> digest_key('a')[:8]
     'ca978112'
@@ -37,7 +40,7 @@
 
 
 def authenticate(view: views.View, authorization: str | None) -> Caller:
-    """Return the caller of a request; raise RequestError with 401."""
+    """Return the caller; raise RequestError 401 if its key is not valid."""
     refused = errors.RequestError(
         401, 'bad-key', 'the request carries no valid key'
     )
@@ -56,7 +59,7 @@
 
 
 def is_key_valid(view: views.View, caller: Caller) -> bool:
-    """Return whether the caller's key stands; false once it is revoked."""
+    """Return whether the caller's key exists and is not revoked."""
     key = view.key(caller.key_digest)
     return key is not None and not key['revoked']
 
@@ -68,9 +71,9 @@
 def resolve_model(
     bundle: messages.BundleValue | None, caller: Caller, name: str
 ) -> Model:
-    """Return what name stands for; raise RequestError with 404 or 503.
+    """Return the model called name; raise RequestError 404 or 503.
 
-    A model of another customer is answered as one that does not exist.
+    A model that the caller may not use is reported as nonexistent.
     """
     if bundle is None:
         raise errors.RequestError(
@@ -94,7 +97,7 @@
 def list_models(
     bundle: messages.BundleValue | None, caller: Caller
 ) -> list[str]:
-    """Return the public names that the caller may use."""
+    """Return the public names of the models that the caller may use."""
     if bundle is None:
         return []
     return [
--- a/gentianstair/entry/completions.py
+++ b/gentianstair/entry/completions.py
@@ -1,4 +1,4 @@
-"""Read a caller's completion request and write the engine's."""
+"""Parse completion requests of callers and build those for engines."""
 
 import json
 import typing
@@ -15,10 +15,10 @@
 
 
 class Completion(typing.NamedTuple):
-    """A checked completion request.
+    """A validated completion request.
 
-    ``body`` is the caller's object: a field that is unknown here goes
-    through to the engine as it came.
+    ``body`` is the JSON object the caller sent; unknown fields in it are
+    forwarded to the engine unchanged.
     """
 
     path: str
@@ -31,32 +31,35 @@
     body: dict[str, typing.Any]
 
 
-def _bad(detail: str) -> errors.RequestError:
+def _bad_request(detail: str) -> errors.RequestError:
     return errors.RequestError(400, 'bad-request', detail)
 
 
-def _depth_ok(value: typing.Any, left: int) -> bool:
-    if left < 0:
+def _is_within_depth(value: typing.Any, levels_left: int) -> bool:
+    if levels_left < 0:
         return False
     if isinstance(value, dict):
-        return all(_depth_ok(item, left - 1) for item in value.values())
+        return all(
+            _is_within_depth(item, levels_left - 1) for item in value.values()
+        )
     if isinstance(value, list):
-        return all(_depth_ok(item, left - 1) for item in value)
+        return all(_is_within_depth(item, levels_left - 1) for item in value)
     return True
 
 
-def _refuse_constant(name: str) -> typing.NoReturn:
+def _reject_constant(name: str) -> typing.NoReturn:
     raise ValueError(f'{name} is not JSON')
 
 
-# NaN and the infinities are no JSON, but the library takes them unless told.
-_DECODER = json.JSONDecoder(parse_constant=_refuse_constant)
+# By default the json module accepts NaN and Infinity, which are not JSON.
+_DECODER = json.JSONDecoder(parse_constant=_reject_constant)
 
 
-def _check_text(data: bytes, body: typing.Any) -> None:
-    """Raise ValueError for half a surrogate pair, which is no text.
+def _check_surrogates(data: bytes, body: typing.Any) -> None:
+    """Raise ValueError if the body has an unpaired surrogate.
 
-    It can only come as an escape, and has no bytes to be hashed or sent.
+    JSON can express one only as an escape, and UTF-8 cannot encode it, so
+    the prompt could be neither hashed nor sent.
     """
     if b'\\u' in data:
         json.dumps(body, ensure_ascii=False).encode()
@@ -65,19 +68,21 @@
 def _decode(data: bytes) -> dict[str, typing.Any]:
     try:
         body = _DECODER.decode(data.decode())
-        _check_text(data, body)
+        _check_surrogates(data, body)
     except (ValueError, RecursionError):
-        raise _bad('the body is not JSON') from None
+        raise _bad_request('the body is not JSON') from None
     if not isinstance(body, dict):
-        raise _bad('the body is not a JSON object')
-    if not _depth_ok(body, MAX_NESTING_DEPTH):
-        raise _bad(f'the body is nested deeper than {MAX_NESTING_DEPTH}')
+        raise _bad_request('the body is not a JSON object')
+    if not _is_within_depth(body, MAX_NESTING_DEPTH):
+        raise _bad_request(
+            f'the body is nested deeper than {MAX_NESTING_DEPTH}'
+        )
     return body
 
 
 def _message_text(message: typing.Any) -> str:
     if not isinstance(message, dict):
-        raise _bad('each message must be an object')
+        raise _bad_request('each message must be an object')
     content = message.get('content')
     if isinstance(content, str):
         return content
@@ -86,61 +91,61 @@
         return ' '.join(str(part.get('text', '')) for part in parts)
     if content is None:
         return ''
-    raise _bad('content must be text or a list of parts')
+    raise _bad_request('content must be text or a list of parts')
 
 
-def _prompt(path: str, body: dict[str, typing.Any]) -> str:
+def _parse_prompt(path: str, body: dict[str, typing.Any]) -> str:
     if path == CHAT_PATH:
         messages = body.get('messages')
         if not isinstance(messages, list) or not messages:
-            raise _bad('messages must be a list that is not empty')
+            raise _bad_request('messages must be a list that is not empty')
         return ' '.join(_message_text(message) for message in messages)
     prompt = body.get('prompt')
     if not isinstance(prompt, str):
-        raise _bad('prompt must be text')
+        raise _bad_request('prompt must be text')
     return prompt
 
 
-def _integer(
+def _parse_integer(
     body: dict[str, typing.Any], name: str, default: int, low: int, high: int
 ) -> int:
     value = body.get(name, default)
     if value is None:
         return default
     if not isinstance(value, int) or isinstance(value, bool):
-        raise _bad(f'{name} must be a whole number')
+        raise _bad_request(f'{name} must be a whole number')
     if not low <= value <= high:
-        raise _bad(f'{name} must be {low} to {high}')
+        raise _bad_request(f'{name} must be {low} to {high}')
     return value
 
 
-def _max_tokens(body: dict[str, typing.Any]) -> int:
+def _parse_max_tokens(body: dict[str, typing.Any]) -> int:
     name = 'max_tokens'
     if 'max_completion_tokens' in body:
         name = 'max_completion_tokens'
-    return _integer(body, name, DEFAULT_MAX_TOKENS, 1, 1_000_000)
+    return _parse_integer(body, name, DEFAULT_MAX_TOKENS, 1, 1_000_000)
 
 
 def parse(path: str, data: bytes) -> Completion:
-    """Return the request in data; raise RequestError with 400."""
+    """Return the request in data; raise RequestError 400 if it is invalid."""
     body = _decode(data)
     model = body.get('model')
     if not isinstance(model, str) or not model:
-        raise _bad('model must be text')
+        raise _bad_request('model must be text')
     stream = body.get('stream') or False
     if not isinstance(stream, bool):
-        raise _bad('stream must be true or false')
+        raise _bad_request('stream must be true or false')
     options = body.get('stream_options') or {}
     if not isinstance(options, dict):
-        raise _bad('stream_options must be an object')
+        raise _bad_request('stream_options must be an object')
     return Completion(
         path=path,
         model=model,
-        prompt=_prompt(path, body),
-        max_tokens=_max_tokens(body),
+        prompt=_parse_prompt(path, body),
+        max_tokens=_parse_max_tokens(body),
         stream=stream,
         wants_usage=bool(options.get('include_usage')),
-        priority=_integer(body, 'priority', 0, 0, MAX_PRIORITY),
+        priority=_parse_integer(body, 'priority', 0, 0, MAX_PRIORITY),
         body=body,
     )
 
@@ -150,10 +155,10 @@
     model: callers.Model,
     resume_text: str = '',
 ) -> bytes:
-    """Return the engine's body, without anything that names the key.
+    """Return the request body for the engine, without the caller's key.
 
-    With resume_text the engine goes on after what was delivered already;
-    the limit of tokens still counts from the answer's start.
+    With resume_text the engine continues after the text that was already
+    delivered; max_tokens still counts from the start of the response.
     """
     body = dict(completion.body)
     body['model'] = model.adapter or model.engine_model
@@ -163,7 +168,7 @@
     body['max_tokens'] = completion.max_tokens
     if completion.stream:
         options = dict(body.get('stream_options') or {})
-        # Usage is billed from the engine's own count.
+        # Customers are billed by the token counts of the engine.
         body['stream_options'] = {**options, 'include_usage': True}
     body.pop('resume_text', None)
     if resume_text:
--- a/gentianstair/entry/explain.py
+++ b/gentianstair/entry/explain.py
@@ -1,4 +1,4 @@
-"""Keep why each recent request went as it did, for operators."""
+"""Record the decisions made on recent requests, for operators."""
 
 import collections
 import time
@@ -17,7 +17,7 @@
 
 
 class Explanations:
-    """The steps of recent requests; the oldest requests go first."""
+    """Steps of the most recent requests, the oldest request evicted first."""
 
     def __init__(self, max_requests: int = MAX_REQUESTS) -> None:
         self._max_requests = max_requests
@@ -33,7 +33,7 @@
         /,
         **detail: typing.Any,
     ) -> None:
-        """Note a step."""
+        """Record a step; drop it if the request already has too many."""
         _, steps = self._requests.setdefault(request_id, (customer, []))
         if len(steps) < MAX_STEPS_PER_REQUEST:
             steps.append(Step(time.time(), step, detail))
@@ -41,7 +41,7 @@
             self._requests.popitem(last=False)
 
     def get(self, request_id: str) -> dict[str, typing.Any] | None:
-        """Return what is known of a request, or None."""
+        """Return the recorded steps of a request, or None if it is unknown."""
         found = self._requests.get(request_id)
         if found is None:
             return None
--- a/gentianstair/entry/handler.py
+++ b/gentianstair/entry/handler.py
@@ -1,4 +1,4 @@
-"""Serve one caller's request: from the key to the whole answer."""
+"""Serve one relayed request, from authentication to the response."""
 
 import collections.abc
 import re
@@ -26,8 +26,9 @@
 
 _REQUEST_ID = re.compile(r'[A-Za-z0-9._-]{1,64}')
 NOT_FRESH_RETRY_AFTER_S = 1.0
-# Set by the usual client libraries to the number of the repeat.
+# Set by common client libraries to the number of earlier tries.
 RETRY_COUNT_HEADER = 'x-stainless-retry-count'
+# Prompt tokens and max tokens that admission counts for a service call.
 SERVICE_CALL_TOKENS = 1
 
 REQUESTS = prometheus_client.Counter(
@@ -54,7 +55,10 @@
 
 
 def check_fresh(node: nodes.Node) -> None:
-    """Raise RequestError when a key may have been revoked unheard."""
+    """Raise RequestError 503 if the configuration may be out of date.
+
+    A key may then have been revoked without this VM knowing it.
+    """
     if not node.freshness.is_fresh():
         raise errors.RequestError(
             503,
@@ -65,7 +69,7 @@
 
 
 class Handler:
-    """Serve one relayed request, written down from start to end."""
+    """Serve one relayed request and record its outcome."""
 
     def __init__(self, node: nodes.Node, exchange: exchanges.Exchange) -> None:
         self._node = node
@@ -76,42 +80,44 @@
         self._verdict = verdicts.Verdict.NOT_RUN
 
     async def serve(self) -> None:
-        """Serve the request; every failure ends in a final answer."""
+        """Serve the request; every failure ends in an error response."""
         started_s = self._node.clock()
         RUNNING_REQUESTS.inc()
         try:
             self._request_id = _request_id(self._exchange)
             self._exchange.connection.request_id = self._request_id
-            await self._route()
+            await self._handle()
         except errors.RequestError as error:
-            await self._fail(error)
+            await self._send_failure(error)
         except exchanges.CallerDisconnectedError as error:
-            self._gone(error)
+            self._record_disconnect(error)
             if self._exchange.started:
-                # The server closes a connection whose answer is not ended.
+                # The server closes the connection of an incomplete response.
                 raise
         except Exception:
-            # A fault of ours: the caller still gets a final answer, and
-            # nothing is claimed about what ran.
-            loguru.logger.exception('a request failed inside')
-            await self._fail(_internal())
+            # The caller still gets an error response; what has run is not
+            # known.
+            loguru.logger.exception('request failed with an internal error')
+            await self._send_failure(_internal_error())
         finally:
             RUNNING_REQUESTS.dec()
-            # Without a status it was cancelled: the grace is over, or the
-            # process ends.
+            # Without a status the request was cancelled, by the end of the
+            # grace period or of the process.
             self._status = self._status or exchanges.HTTP_CLOSED_BY_SERVER
             DURATION_S.observe(self._node.clock() - started_s)
-            self._log()
+            self._log_request()
 
-    def _gone(self, error: exchanges.CallerDisconnectedError) -> None:
+    def _record_disconnect(
+        self, error: exchanges.CallerDisconnectedError
+    ) -> None:
         connection = self._exchange.connection
         self._status = self._exchange.disconnect_status()
         if connection.is_closed_here:
-            self._explain('closed-here', why=connection.end.value)
+            self._add_explanation('closed-here', why=connection.end.value)
         else:
-            self._explain('caller-gone', why=str(error))
+            self._add_explanation('caller-gone', why=str(error))
 
-    def _log(self) -> None:
+    def _log_request(self) -> None:
         route = 'services'
         if self._exchange.path in completions.PATHS:
             route = 'completions'
@@ -123,22 +129,22 @@
             verdict=self._verdict.name,
         ).info('request')
 
-    def _explain(self, step: str, /, **detail: typing.Any) -> None:
+    def _add_explanation(self, step: str, /, **detail: typing.Any) -> None:
         self._node.explanations.add(
             self._request_id, self._customer, step, **detail
         )
 
-    async def _fail(self, error: errors.RequestError) -> None:
+    async def _send_failure(self, error: errors.RequestError) -> None:
         self._status = error.status
         self._verdict = error.verdict
-        self._explain('refused', **error.to_problem())
+        self._add_explanation('refused', **error.to_problem())
         if not self._exchange.started:
             await self._exchange.send_error(error, self._request_id)
         elif not self._exchange.ended:
             event = streams.error_event(error, self._request_id)
             await self._exchange.end(event)
 
-    async def _route(self) -> None:
+    async def _handle(self) -> None:
         node = self._node
         exchange = self._exchange
         exchange.check_header_size()
@@ -151,14 +157,14 @@
         body = await exchange.read_body(
             node.settings.max_body_bytes, node.settings.body_timeout_s
         )
-        # The key may have been revoked while the body came in.
+        # The key may have been revoked while the body was received.
         caller = callers.authenticate(node.view, authorization)
         if exchange.path in completions.PATHS:
-            await self._complete(caller, body, deadline_s)
+            await self._serve_completion(caller, body, deadline_s)
         else:
-            await self._call(caller, body, deadline_s)
+            await self._serve_service_call(caller, body, deadline_s)
 
-    def _work(
+    def _describe_work(
         self,
         caller: callers.Caller,
         completion: completions.Completion,
@@ -178,53 +184,58 @@
             blocks.block_hashes(words, salt),
         )
 
-    async def _complete(
+    async def _serve_completion(
         self, caller: callers.Caller, body: bytes, deadline_s: float
     ) -> None:
         node = self._node
         completion = completions.parse(self._exchange.path, body)
         bundle = node.view.bundle()
         model = callers.resolve_model(bundle, caller, completion.model)
-        work = self._work(caller, completion, model, deadline_s)
+        work = self._describe_work(caller, completion, model, deadline_s)
         request = requests.Request(self._request_id, caller, work, bundle)
-        returning = self._returns()
+        is_client_retry = self._is_client_retry()
 
         async def run() -> None:
             tokens = work.prompt_tokens + work.max_tokens
             with node.limits.acquire(caller.customer, tokens) as permit:
-                async with node.queue.admit(work, returning) as ticket:
-                    usage = await self._generate(request, completion, model)
+                async with node.queue.admit(work, is_client_retry) as ticket:
+                    usage = await self._relay_completion(
+                        request, completion, model
+                    )
                     permit.settle(usage.prompt_tokens + usage.output_tokens)
                     ticket.charge(*usage)
 
-        await self._until_gone(run, deadline_s)
+        await self._run_until_ended(run, deadline_s)
 
-    def _returns(self) -> bool:
-        """Return whether the caller says that it was told to come back."""
+    def _is_client_retry(self) -> bool:
+        """Return whether the client library marked the request as a retry."""
         return (self._exchange.header(RETRY_COUNT_HEADER) or '0') != '0'
 
-    async def _until_gone(
+    async def _run_until_ended(
         self,
         run: collections.abc.Callable[[], collections.abc.Awaitable[None]],
         deadline_s: float,
     ) -> None:
-        """Run until done, the caller hangs up or its deadline passes."""
+        """Run until done, the caller disconnects or the deadline passes.
+
+        The grace period of a shutdown ends it as well.
+        """
         node = self._node
-        left_s = deadline_s - node.clock()
+        remaining_s = deadline_s - node.clock()
         end = await request_lifetime.run_until_ended(
-            self._exchange, run, left_s, node.grace
+            self._exchange, run, remaining_s, node.grace
         )
         if end is request_lifetime.EndReason.TIMED_OUT:
-            raise _unfinished(
+            raise _incomplete_error(
                 'deadline-passed',
                 'the answer was not complete at its deadline',
             )
         if end is request_lifetime.EndReason.SHUT_DOWN:
-            raise _stopping()
+            raise _shutdown_error()
         if end is request_lifetime.EndReason.DISCONNECTED:
             raise exchanges.CallerDisconnectedError('the caller hung up')
 
-    async def _generate(
+    async def _relay_completion(
         self,
         request: requests.Request,
         completion: completions.Completion,
@@ -243,17 +254,17 @@
             )
             self._status = 200
         else:
-            whole = relay.BufferedRelay(node, request, completion, model)
-            usage = await whole.run(
+            buffered = relay.BufferedRelay(node, request, completion, model)
+            usage = await buffered.run(
                 split.with_reader(
-                    node, request, completion, model, whole.attempt
+                    node, request, completion, model, buffered.attempt
                 )
             )
-            self._status = whole.status
+            self._status = buffered.status
             await exchange.respond(
-                whole.status,
-                whole.content_type,
-                whole.body,
+                buffered.status,
+                buffered.content_type,
+                buffered.body,
                 relay.response_headers(request),
             )
         self._verdict = verdicts.Verdict.RAN
@@ -261,7 +272,7 @@
         TOKENS.labels('output').inc(usage.output_tokens)
         return usage
 
-    async def _call(
+    async def _serve_service_call(
         self, caller: callers.Caller, body: bytes, deadline_s: float
     ) -> None:
         node = self._node
@@ -282,31 +293,33 @@
 
         async def run() -> None:
             with node.limits.acquire(caller.customer, 0):
-                await self._reply(await services.run(node, request, call))
+                await self._send_response(
+                    await services.run(node, request, call)
+                )
 
         if call.repeatable:
-            await self._until_gone(run, deadline_s)
+            await self._run_until_ended(run, deadline_s)
             return
-        # A caller that hangs up does not stop an unrepeatable call: its
-        # outcome is kept for when the caller asks again.
+        # An unrepeatable call goes on after its caller disconnects: its
+        # outcome is stored for a retry by the caller.
         with trio.CancelScope() as scope, node.grace.limit(scope):
             await run()
         if scope.cancelled_caught:
-            raise _stopping()
+            raise _shutdown_error()
 
-    async def _reply(self, reply: services.ServiceResponse) -> None:
-        self._status = reply.status
+    async def _send_response(self, response: services.ServiceResponse) -> None:
+        self._status = response.status
         self._verdict = verdicts.Verdict.RAN
         headers = [
-            *reply.headers,
-            (b'content-length', b'%d' % len(reply.body)),
+            *response.headers,
+            (b'content-length', b'%d' % len(response.body)),
             (b'x-request-id', self._request_id.encode()),
         ]
-        await self._exchange.start(reply.status, headers)
-        await self._exchange.end(reply.body)
+        await self._exchange.start(response.status, headers)
+        await self._exchange.end(response.body)
 
 
-def _unfinished(kind: str, detail: str) -> errors.RequestError:
+def _incomplete_error(kind: str, detail: str) -> errors.RequestError:
     return errors.RequestError(
         504,
         kind,
@@ -316,13 +329,13 @@
     )
 
 
-def _stopping() -> errors.RequestError:
-    return _unfinished(
+def _shutdown_error() -> errors.RequestError:
+    return _incomplete_error(
         'stopping', 'this VM stopped before the answer was complete'
     )
 
 
-def _internal() -> errors.RequestError:
+def _internal_error() -> errors.RequestError:
     return errors.RequestError(
         500,
         'internal-error',
--- a/gentianstair/entry/main.py
+++ b/gentianstair/entry/main.py
@@ -38,7 +38,7 @@
 OPERATOR_DRAIN_TIMEOUT_S = 1.0
 
 
-def _weight_of(view: views.View) -> typing.Callable[[str], float]:
+def _make_weight_lookup(view: views.View) -> typing.Callable[[str], float]:
     def weight_of(name: str) -> float:
         customer = view.customer(name)
         return customer['weight'] if customer else 1.0
@@ -46,10 +46,10 @@
     return weight_of
 
 
-def _terms_of(
+def _make_limits_lookup(
     view: views.View,
 ) -> typing.Callable[[str], limits.CustomerLimits]:
-    def terms_of(name: str) -> limits.CustomerLimits:
+    def limits_of(name: str) -> limits.CustomerLimits:
         customer = view.customer(name)
         if customer is None:
             return limits.CustomerLimits()
@@ -59,13 +59,13 @@
             customer['concurrent'],
         )
 
-    return terms_of
+    return limits_of
 
 
 def make_node(
     config: generated.EntrySettings,
 ) -> tuple[nodes.Node, peers.Node]:
-    """Return the parts of an entry process, none of them running yet."""
+    """Return the components of an entry process; none is running yet."""
     view = views.View(config.bundle_public_key)
     now = clock.boottime_s
     store = budget.make_budget(
@@ -88,7 +88,7 @@
         view=view,
         freshness=peer,
         queue=admission.make_queue(
-            config.vm_name, _weight_of(view), now, record
+            config.vm_name, _make_weight_lookup(view), now, record
         ),
         router=routing.make_router(
             config.vm_name, config.failure_domain, split=True
@@ -101,7 +101,9 @@
             config.claim_shards,
             config.claim_retention_s,
         ),
-        limits=limits.make_limits(config.vm_name, _terms_of(view), now),
+        limits=limits.make_limits(
+            config.vm_name, _make_limits_lookup(view), now
+        ),
         usage=usages.make_usage_recorder(
             store,
             config.vm_name,
@@ -122,7 +124,7 @@
 def create_operator_app(
     node: nodes.Node, peer: peers.Node, leaving: trio.Event
 ) -> quart_trio.QuartTrio:
-    """Return the application that operators and the balancer meet."""
+    """Return the application of the operator listener."""
     app = quart_trio.QuartTrio('gentianstair.operator')
     apps.add_health_routes(app, node, leaving)
 
@@ -159,7 +161,7 @@
 
 
 def add_json_not_found(app: quart_trio.QuartTrio) -> quart_trio.QuartTrio:
-    """Answer unknown paths without a page for people."""
+    """Answer unknown paths with an empty JSON object, not an HTML page."""
 
     @app.errorhandler(404)
     async def not_found(_):
@@ -168,19 +170,19 @@
     return app
 
 
-async def _keep_last(node: nodes.Node, limit_s: float) -> None:
-    """Bring outcomes and usage into the store before a planned stop."""
+async def _flush_at_shutdown(node: nodes.Node, limit_s: float) -> None:
+    """Store outcomes of claimed requests and usage before a planned stop."""
     with trio.move_on_after(limit_s):
         await node.claims.flush()
     with trio.move_on_after(limit_s):
         try:
             await node.usage.flush()
         except errors.StoreError as error:
-            loguru.logger.error('usage not kept at the stop: {}', error)
+            loguru.logger.error('usage was not stored at shutdown: {}', error)
 
 
 async def run(config: generated.EntrySettings) -> None:
-    """Serve until stopped, then let running requests end."""
+    """Serve until stopped, then drain requests in flight."""
     credentials = tls.make_caller_credentials(
         config.tls_cert_file,
         config.tls_key_file,
@@ -200,7 +202,7 @@
 
     async def leave() -> None:
         await serving.wait_for_stop()
-        loguru.logger.info('stopping: no new requests, running ones end')
+        loguru.logger.info('stopping: draining requests in flight')
         leaving.set()
         peer.leave()
         node.grace.expire_in(
@@ -208,8 +210,8 @@
             + config.drain_timeout_s
             - grace_period.RESPONSE_FLUSH_S
         )
-        # The balancer still sends here until it has seen that this VM is
-        # not ready; closing at once would refuse those callers.
+        # The load balancer keeps sending requests until it sees that this
+        # VM is not ready; an earlier close would refuse them.
         await trio.sleep(config.leave_wait_s)
 
     host, port = sock.getsockname()[:2]
@@ -241,12 +243,12 @@
             credentials.server if credentials else None,
             send_stall_s=config.caller_stall_s,
         )
-        await _keep_last(node, config.store_timeout_s)
+        await _flush_at_shutdown(node, config.store_timeout_s)
         nursery.cancel_scope.cancel()
 
 
 def main() -> None:
-    """Read settings and run; a bad setting is told in one line."""
+    """Read the settings and run; report a bad setting in one line."""
     daemon.start(
         'entry',
         generated.ENTRY,
--- a/gentianstair/entry/node.py
+++ b/gentianstair/entry/node.py
@@ -1,4 +1,4 @@
-"""Hold the parts of one entry process that its requests share."""
+"""Hold the components that all requests of an entry process share."""
 
 import typing
 
@@ -18,14 +18,14 @@
 
 
 class Freshness(typing.Protocol):
-    """Tell whether the configuration in force is known to be current."""
+    """Report whether the configuration in force is known to be current."""
 
     def is_fresh(self) -> bool:
-        """Return whether requests may be served on it."""
+        """Return whether requests may be served with it."""
 
 
 class Node(typing.NamedTuple):
-    """The parts of one entry process."""
+    """The components of one entry process."""
 
     settings: settings.EntrySettings
     clock: clocks.Clock
@@ -43,5 +43,5 @@
 
     @property
     def ejector(self) -> ejection.Ejector:
-        """Return who is ejected."""
+        """Return the ejector of failing upstreams."""
         return self.retries.ejector
--- a/gentianstair/entry/relay.py
+++ b/gentianstair/entry/relay.py
@@ -1,4 +1,4 @@
-"""Relay completions between callers and engines."""
+"""Relay completions from engines to callers."""
 
 import collections.abc
 import contextlib
@@ -19,11 +19,14 @@
 from gentianstair.entry import tries
 from gentianstair.upstreams import transport
 
+# Set to 1 by an engine that did not start to run the request.
 NOT_STARTED_HEADER = 'x-not-started'
 EVENT_STREAM_TYPE = b'text/event-stream'
 JSON_TYPE = 'application/json'
 MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+# Tokens that a stream delivers between two updates of its usage.
 BILLING_STEP_TOKENS = 64
+# Tokens per step not billed until the end, as events may have no token.
 BILLING_MARGIN_TOKENS = 4
 
 
@@ -33,7 +36,7 @@
     path: str,
     body: bytes,
 ) -> httpx.Request:
-    """Return the request for an engine; no header of the caller is in it."""
+    """Return the request for an engine, without any header of the caller."""
     headers = [
         (b'content-type', b'application/json'),
         (b'x-request-id', request.request_id.encode()),
@@ -43,10 +46,10 @@
 
 
 def check_status(response: httpx.Response) -> None:
-    """Raise UpstreamError for an answer that is no answer.
+    """Raise UpstreamError for a status that means a failed attempt.
 
-    An engine that says it did not start is believed, so such a try counts
-    as not run; any other failure may have run.
+    The verdict is NOT_RUN if the engine says that it did not start, and
+    MAY_HAVE_RUN for any other failure.
     """
     status = response.status_code
     if status < 500 and status != 429:
@@ -58,42 +61,50 @@
 
 
 class StallTimeout:
-    """End a try whose upstream has fallen silent.
+    """Cancel an attempt whose upstream sends nothing for too long.
 
-    Moving a deadline at each token costs more than it is worth, so it moves
-    in steps: a silence ends after limit_s at the least and an eighth more at
-    the most. While the caller is written to, the wait is not the
-    upstream's, and the server bounds it.
+    The deadline is extended in steps rather than at each token, to save
+    work: it passes limit_s to limit_s * 9 / 8 after the last data.
+    ``waiting_for_caller`` is true while data is written to the caller; a
+    timeout is then not the fault of the upstream.
     """
 
     def __init__(self, scope: trio.CancelScope, limit_s: float) -> None:
         self._scope = scope
         self._limit_s = limit_s
-        self._step_s = limit_s / 8
-        self._next_s = 0.0
+        self._update_interval_s = limit_s / 8
+        self._next_update_s = 0.0
         self.waiting_for_caller = False
         self.record_progress()
 
     def record_progress(self) -> None:
-        """Note that the upstream sent something."""
+        """Extend the deadline, as the upstream sent something."""
         self.waiting_for_caller = False
         now_s = trio.current_time()
-        if now_s >= self._next_s:
-            self._next_s = now_s + self._step_s
-            self._scope.deadline = now_s + self._limit_s + self._step_s
+        if now_s >= self._next_update_s:
+            self._next_update_s = now_s + self._update_interval_s
+            self._scope.deadline = (
+                now_s + self._limit_s + self._update_interval_s
+            )
 
 
 @contextlib.asynccontextmanager
 async def open_response(
-    node: nodes.Node, outgoing: httpx.Request, stall_s: float
+    node: nodes.Node, upstream_request: httpx.Request, stall_s: float
 ) -> collections.abc.AsyncIterator[tuple[httpx.Response, StallTimeout]]:
-    """Yield the response at its headers, and the guard of its body."""
+    """Yield the response once its headers came, and its stall timeout.
+
+    Raise UpstreamError if the upstream stalls, CallerDisconnectedError if
+    the caller does.
+    """
     response = None
     with trio.CancelScope() as scope:
-        guard = StallTimeout(scope, stall_s)
+        stall_timeout = StallTimeout(scope, stall_s)
         try:
-            response = await node.transport.handle_async_request(outgoing)
-            yield response, guard
+            response = await node.transport.handle_async_request(
+                upstream_request
+            )
+            yield response, stall_timeout
         finally:
             if response is not None:
                 with trio.CancelScope(
@@ -102,7 +113,7 @@
                     await response.stream.aclose()
     if not scope.cancelled_caught:
         return
-    if guard.waiting_for_caller:
+    if stall_timeout.waiting_for_caller:
         raise exchanges.CallerDisconnectedError('the caller stopped reading')
     raise errors.UpstreamError(
         f'no data for {stall_s:g} s', verdicts.Verdict.MAY_HAVE_RUN
@@ -114,7 +125,7 @@
 
 
 async def read_all(response: httpx.Response) -> bytes:
-    """Return a whole body; raise UpstreamError for one that is too long."""
+    """Return the body; raise UpstreamError if it is too long."""
     return await transport.read_all(response, MAX_RESPONSE_BYTES)
 
 
@@ -124,7 +135,7 @@
     tried: tries.Try,
     usage: streams.Usage,
 ) -> None:
-    """Count tokens for the request's customer and the upstream's kind."""
+    """Record usage for the customer and the upstream's capacity class."""
     if usage == streams.Usage():
         return
     node.usage.count(
@@ -137,7 +148,7 @@
 
 
 class StreamingRelay:
-    """A streamed answer over as many engines as it takes."""
+    """Stream a response, resuming it on another engine after a failure."""
 
     def __init__(
         self,
@@ -156,55 +167,64 @@
         self.response = streams.StreamedResponse(completion.wants_usage)
 
     async def attempt(self, tried: tries.Try) -> streams.Usage:
-        """Stream from one engine, going on after what was delivered."""
+        """Stream from one engine, continuing after the delivered text."""
         node = self._node
         if self.response.has_finish_reason:
-            # The engine was lost after the last word, before its end.
+            # The engine was lost after the last token, before the end of its
+            # stream.
             self.response.end_received = True
             return self.response.total_usage()
         body = completions.engine_body(
             self._completion, self._model, self.response.resume_text()
         )
-        outgoing = engine_request(
+        upstream_request = engine_request(
             self._request, tried, self._completion.path, body
         )
         stall_s = node.settings.upstream_stall_s
         try:
-            opened = open_response(node, outgoing, stall_s)
-            async with opened as (found, guard):
-                check_status(found)
-                if found.status_code != 200:
-                    await self._forward_refusal(found)
+            response_context = open_response(node, upstream_request, stall_s)
+            async with response_context as (upstream_response, stall_timeout):
+                check_status(upstream_response)
+                if upstream_response.status_code != 200:
+                    await self._forward_refusal(upstream_response)
                     return streams.Usage()
                 await self._start_response()
                 self._billed_tokens = 0
-                bill_part = functools.partial(self._bill_delivered, tried)
-                with node.usage.track_stream(bill_part):
-                    await self._forward_stream(found, guard, tried, bill_part)
+                bill_delivered = functools.partial(self._bill_delivered, tried)
+                with node.usage.track_stream(bill_delivered):
+                    await self._forward_stream(
+                        upstream_response, stall_timeout, tried, bill_delivered
+                    )
             self.response.final_events()
         finally:
-            # Each run is billed by itself, also one that was cut, since
-            # the runs of one answer may be on upstreams of other kinds.
-            used = self.response.attempt_usage(
+            # Each attempt is billed separately, even if it failed, since
+            # attempts may use upstreams of different capacity classes.
+            usage = self.response.attempt_usage(
                 self._request.work.prompt_tokens
             )
-            left = max(0, used.output_tokens - self._billed_tokens)
+            unbilled = max(0, usage.output_tokens - self._billed_tokens)
             record_usage(
-                node, self._request, tried, used._replace(output_tokens=left)
+                node,
+                self._request,
+                tried,
+                usage._replace(output_tokens=unbilled),
             )
         return self.response.total_usage()
 
-    async def _forward_refusal(self, found: httpx.Response) -> None:
-        """Hand on an engine's own refusal, such as a bad field."""
-        body = await read_all(found)
+    async def _forward_refusal(
+        self, upstream_response: httpx.Response
+    ) -> None:
+        """Forward an engine's refusal, such as of an invalid field."""
+        body = await read_all(upstream_response)
         if self._exchange.started:
             raise errors.UpstreamError(
-                f'the upstream answered {found.status_code} to a resumption',
+                f'the upstream answered {upstream_response.status_code} '
+                'to a resumption',
                 verdicts.Verdict.MAY_HAVE_RUN,
             )
         await self._exchange.respond(
-            found.status_code,
-            found.headers.get('content-type', JSON_TYPE),
+            upstream_response.status_code,
+            upstream_response.headers.get('content-type', JSON_TYPE),
             body,
             response_headers(self._request),
         )
@@ -221,48 +241,50 @@
 
     async def _forward_stream(
         self,
-        found: httpx.Response,
-        guard: StallTimeout,
+        upstream_response: httpx.Response,
+        stall_timeout: StallTimeout,
         tried: tries.Try,
-        bill_part: collections.abc.Callable[[], None],
+        bill_delivered: collections.abc.Callable[[], None],
     ) -> None:
-        answer = self.response
+        response = self.response
         write = self._exchange.write
-        bill_at = answer.delivered_tokens + BILLING_STEP_TOKENS
-        first = True
-        async for data in found.stream:
-            out = answer.feed(data)
-            if out:
-                if first:
-                    first = False
+        bill_at = response.delivered_tokens + BILLING_STEP_TOKENS
+        is_first = True
+        async for data in upstream_response.stream:
+            events = response.feed(data)
+            if events:
+                if is_first:
+                    is_first = False
                     tried.first_token()
-                guard.waiting_for_caller = True
-                await write(out)
-            guard.record_progress()
-            if answer.delivered_tokens >= bill_at:
+                stall_timeout.waiting_for_caller = True
+                await write(events)
+            stall_timeout.record_progress()
+            if response.delivered_tokens >= bill_at:
                 bill_at += BILLING_STEP_TOKENS
-                bill_part()
+                bill_delivered()
 
     def _bill_delivered(self, tried: tries.Try) -> None:
-        """Count what was delivered of an answer before its end.
+        """Record usage of a running stream.
 
-        What is not counted is lost if this VM is killed, and a stream may
-        run for minutes. It is a little less than was delivered, since an
-        engine may send an event without a token.
+        Usage that is not recorded is lost if this VM is killed, and a stream
+        may run for minutes. A margin stays unbilled until the end,
+        since an engine may send events without a token.
         """
-        made = self.response.attempt_tokens
-        steps = -(-made // BILLING_STEP_TOKENS)
-        tokens = made - BILLING_MARGIN_TOKENS * steps - self._billed_tokens
+        delivered = self.response.attempt_tokens
+        steps = -(-delivered // BILLING_STEP_TOKENS)
+        tokens = (
+            delivered - BILLING_MARGIN_TOKENS * steps - self._billed_tokens
+        )
         if tokens <= 0:
             return
         self._billed_tokens += tokens
-        used = streams.Usage(output_tokens=tokens)
-        record_usage(self._node, self._request, tried, used)
+        usage = streams.Usage(output_tokens=tokens)
+        record_usage(self._node, self._request, tried, usage)
 
     async def run(self, attempt: tries.Attempt) -> streams.Usage:
-        """Stream the whole answer; raise RequestError if it can't be had.
+        """Stream the complete response; raise RequestError if that fails.
 
-        attempt is the method above, or one that goes around it.
+        attempt is the method of this object, or a wrapper of it.
         """
         usage = await tries.run(self._node, self._request, attempt)
         if not self._exchange.ended:
@@ -271,7 +293,7 @@
 
 
 class BufferedRelay:
-    """An answer that is sent at once when it is complete."""
+    """Read a complete response from an engine before it is sent."""
 
     def __init__(
         self,
@@ -289,18 +311,23 @@
         self.body = b''
 
     async def attempt(self, tried: tries.Try) -> streams.Usage:
-        """Take the whole answer of one engine."""
+        """Read the complete response of one engine."""
         node = self._node
         body = completions.engine_body(self._completion, self._model)
-        outgoing = engine_request(
+        upstream_request = engine_request(
             self._request, tried, self._completion.path, body
         )
-        left_s = self._request.work.deadline_s - node.clock()
-        async with open_response(node, outgoing, left_s) as (found, _):
-            check_status(found)
-            self.status = found.status_code
-            self.content_type = found.headers.get('content-type', JSON_TYPE)
-            self.body = await read_all(found)
+        remaining_s = self._request.work.deadline_s - node.clock()
+        async with open_response(node, upstream_request, remaining_s) as (
+            upstream_response,
+            _,
+        ):
+            check_status(upstream_response)
+            self.status = upstream_response.status_code
+            self.content_type = upstream_response.headers.get(
+                'content-type', JSON_TYPE
+            )
+            self.body = await read_all(upstream_response)
         tried.first_token()
         if self.status != 200:
             return streams.Usage()
@@ -314,13 +341,13 @@
         return usage
 
     async def run(self, attempt: tries.Attempt) -> streams.Usage:
-        """Return the usage once status and body are set.
+        """Return the usage, with status, content_type and body set.
 
-        attempt is the method above, or one that goes around it.
+        attempt is the method of this object, or a wrapper of it.
         """
         return await tries.run(self._node, self._request, attempt)
 
 
 def response_headers(request: requests.Request) -> exchanges.Headers:
-    """Return the headers that every answer of ours carries."""
+    """Return the headers that are set on every completion response."""
     return [(b'x-request-id', request.request_id.encode())]
--- a/gentianstair/entry/request.py
+++ b/gentianstair/entry/request.py
@@ -1,4 +1,4 @@
-"""Describe one admitted request on its way through an entry process."""
+"""Describe one request while an entry process serves it."""
 
 import typing
 
@@ -8,10 +8,11 @@
 
 
 class Request(typing.NamedTuple):
-    """A request with what was decided of it at its start.
+    """A request, its caller and the bundle it is served with.
 
-    The bundle is taken once, so that no request sees a mix of two: retries
-    and resumptions use it even if another comes into force meanwhile.
+    Retries and resumptions use the bundle that was in force when the request
+    started, even after another one comes into force. ``is_service`` is true
+    for calls of plain services, false for completions.
     """
 
     request_id: str
--- a/gentianstair/entry/services.py
+++ b/gentianstair/entry/services.py
@@ -1,4 +1,4 @@
-"""Relay calls of plain services, the unrepeatable ones at most once."""
+"""Relay calls of plain services; run unrepeatable ones at most once."""
 
 import hashlib
 import typing
@@ -28,8 +28,8 @@
 REPEATABLE_METHODS = frozenset({'GET', 'HEAD', 'OPTIONS'})
 ALLOWED_METHODS = REPEATABLE_METHODS | {'POST', 'PUT', 'PATCH', 'DELETE'}
 REPLAYED_HEADER = (b'idempotency-replayed', b'true')
-# Headers between two hops (RFC 9110, 7.6.1), those that name the caller's
-# key, and those this relay sets itself; none of them goes on.
+# Headers that are not forwarded: hop-by-hop headers (RFC 9110, 7.6.1),
+# headers with credentials, and headers that this relay sets itself.
 DROPPED_HEADERS = frozenset(
     {
         b'authorization',
@@ -67,30 +67,32 @@
 
     @property
     def repeatable(self) -> bool:
-        """Return whether running it twice does no harm."""
+        """Return whether the call may safely run more than once."""
         return self.method in REPEATABLE_METHODS
 
 
 class ServiceResponse(typing.NamedTuple):
-    """What a service answered."""
+    """The response of a service."""
 
     status: int
     headers: exchanges.Headers
     body: bytes
 
 
-def _kept_headers(
+def _forwarded_headers(
     headers: exchanges.Headers, dropped: frozenset[bytes]
 ) -> exchanges.Headers:
-    """Return headers that may pass; those Connection names may not."""
-    named = set()
+    """Return headers without dropped ones and those Connection names."""
+    connection_names = set()
     for name, value in headers:
         if name.lower() == b'connection':
-            named |= {part.strip().lower() for part in value.split(b',')}
+            connection_names |= {
+                part.strip().lower() for part in value.split(b',')
+            }
     return [
         (name.lower(), value)
         for name, value in headers
-        if name.lower() not in dropped and name.lower() not in named
+        if name.lower() not in dropped and name.lower() not in connection_names
     ]
 
 
@@ -107,7 +109,7 @@
 
 
 def routing_name(service: str) -> str:
-    """Return the name under which routing knows a service.
+    """Return the name of a service in routing, apart from models.
 
     >>> routing_name('stock')
     'service:stock'
@@ -116,19 +118,19 @@
 
 
 def check_service_exists(node: nodes.Node, service: str) -> None:
-    """Raise RequestError with 404 if no upstream serves a service."""
+    """Raise RequestError 404 if no upstream serves a service."""
     if not node.router.subset(routing_name(service)):
         raise errors.RequestError(
             404, 'no-such-service', f'there is no service {service!r}'
         )
 
 
-def _target(path: str, query: bytes) -> str:
-    """Return path and query as they go on.
+def _upstream_target(path: str, query: bytes) -> str:
+    """Return path and query for the upstream; raise RequestError 400.
 
-    Dots would leave the part of the upstream that is meant for callers.
-    Other characters than printable ASCII in a query cannot come by HTTP/1.1
-    and would end the request line early where they are passed on.
+    Dot segments could lead out of the path that the upstream offers to
+    callers. Spaces and control characters in a query, which HTTP/2 allows,
+    would end the HTTP/1.1 request line early.
     """
     if {'.', '..'} & set(path.split('/')):
         raise errors.RequestError(400, 'bad-path', 'no dots in a path')
@@ -142,7 +144,7 @@
 
 
 def parse(exchange: exchanges.Exchange, body: bytes) -> ServiceCall:
-    """Return the call; raise RequestError with 400, 404 or 405."""
+    """Return the call; raise RequestError 400, 404 or 405."""
     if exchange.method not in ALLOWED_METHODS:
         raise errors.RequestError(
             405,
@@ -152,25 +154,25 @@
     service, _, path = exchange.path[len(PATH_PREFIX) :].partition('/')
     if not service:
         raise errors.RequestError(404, 'no-such-service', 'no service named')
-    target = _target(path, exchange.query)
+    target = _upstream_target(path, exchange.query)
     return ServiceCall(
         service,
         target,
         exchange.method,
-        _kept_headers(exchange.raw_headers, DROPPED_HEADERS),
+        _forwarded_headers(exchange.raw_headers, DROPPED_HEADERS),
         body,
         _idempotency_key(exchange),
     )
 
 
 def call_digest(call: ServiceCall) -> str:
-    """Return what tells two different calls under one key apart."""
+    """Return a digest to detect another call under the same key."""
     parts = [call.method.encode(), call.path.encode(), call.body]
     return hashlib.sha256(b'\0'.join(parts)).hexdigest()
 
 
 class ServiceRelay:
-    """One call on its way to a service and back."""
+    """Relay one call; ``response`` is set once the service responded."""
 
     def __init__(
         self,
@@ -185,7 +187,7 @@
         self._claim = claim
         self.response: ServiceResponse | None = None
 
-    def _outgoing(self, tried: tries.Try) -> httpx.Request:
+    def _build_request(self, tried: tries.Try) -> httpx.Request:
         call = self._call
         headers = [
             *call.headers,
@@ -208,20 +210,24 @@
             self._node.claims.check_sendable(self._claim)
 
     async def attempt(self, tried: tries.Try) -> streams.Usage:
-        """Make the call once."""
-        outgoing = self._outgoing(tried)
-        left_s = self._request.work.deadline_s - self._node.clock()
-        opened = relay.open_response(self._node, outgoing, left_s)
-        async with opened as (found, _):
-            if self._call.repeatable or found.headers.get(
+        """Send the call to one upstream and read its response."""
+        upstream_request = self._build_request(tried)
+        remaining_s = self._request.work.deadline_s - self._node.clock()
+        response_context = relay.open_response(
+            self._node, upstream_request, remaining_s
+        )
+        async with response_context as (upstream_response, _):
+            if self._call.repeatable or upstream_response.headers.get(
                 relay.NOT_STARTED_HEADER
             ):
-                relay.check_status(found)
-            body = await relay.read_all(found)
-            headers = _kept_headers(
-                found.headers.raw, DROPPED_RESPONSE_HEADERS
+                relay.check_status(upstream_response)
+            body = await relay.read_all(upstream_response)
+            headers = _forwarded_headers(
+                upstream_response.headers.raw, DROPPED_RESPONSE_HEADERS
+            )
+            self.response = ServiceResponse(
+                upstream_response.status_code, headers, body
             )
-            self.response = ServiceResponse(found.status_code, headers, body)
         self._node.usage.count(
             self._request.caller.customer,
             tried.upstream['capacity_class'],
@@ -235,26 +241,29 @@
     return errors.RequestError(409, kind, detail, verdict)
 
 
-def _settled(found: claimses.ClaimResult) -> ServiceResponse:
-    """Return the first outcome of a claimed call, or raise what is known."""
+def _claimed_outcome(claim: claimses.ClaimResult) -> ServiceResponse:
+    """Return the stored response of a claimed call.
+
+    Raise RequestError 409 or 422 if there is none.
+    """
     state = claim_shard.State
-    if found.state is state.MISMATCH:
+    if claim.state is state.MISMATCH:
         raise errors.RequestError(
             422,
             'idempotency-key-reused',
             'this key came first with another request',
         )
-    if found.state is state.FINISHED and found.body is not None:
+    if claim.state is state.FINISHED and claim.body is not None:
         headers = [
-            (name.encode(), value.encode()) for name, value in found.headers
+            (name.encode(), value.encode()) for name, value in claim.headers
         ]
         return ServiceResponse(
-            found.status, [*headers, REPLAYED_HEADER], found.body
+            claim.status, [*headers, REPLAYED_HEADER], claim.body
         )
-    if found.state is state.FINISHED:
+    if claim.state is state.FINISHED:
         raise _conflict(
             'outcome-not-kept',
-            f'the request ran and answered {found.status}; its body was too '
+            f'the request ran and answered {claim.status}; its body was too '
             'long to keep',
             verdicts.Verdict.RAN,
         )
@@ -263,104 +272,106 @@
         'a request with this key was sent before and its outcome is not known',
         verdicts.Verdict.MAY_HAVE_RUN,
     )
-    if found.state is state.RUNNING_ELSEWHERE:
+    if claim.state is state.RUNNING_ELSEWHERE:
         error.retry_after_s = 1.0
     raise error
 
 
-async def _claimed(
+async def _run_claimed(
     node: nodes.Node, request: requests.Request, call: ServiceCall
 ) -> ServiceResponse:
-    """Make an unrepeatable call under its idempotency key."""
-    found = await node.claims.claim(
+    """Run an unrepeatable call under its idempotency key."""
+    claim = await node.claims.claim(
         request.caller.customer, call.idempotency_key, call_digest(call)
     )
     node.explanations.add(
         request.request_id,
         request.caller.customer,
         'claim',
-        state=found.state.value,
+        state=claim.state.value,
     )
-    if found.state is not claim_shard.State.GRANTED:
-        return _settled(found)
+    if claim.state is not claim_shard.State.GRANTED:
+        return _claimed_outcome(claim)
     try:
-        reply = await _once(node, request, call, found)
+        response = await _run_once(node, request, call, claim)
     except errors.RequestError as error:
         if error.verdict is verdicts.Verdict.NOT_RUN:
-            await node.claims.release(found)
+            await node.claims.release(claim)
         raise
-    headers = {name: value for name, value in reply.headers}
+    headers = {name: value for name, value in response.headers}
     content_type = headers.get(b'content-type', b'').decode('latin-1')
-    await node.claims.finish(found, reply.status, content_type, reply.body)
-    return reply
+    await node.claims.finish(
+        claim, response.status, content_type, response.body
+    )
+    return response
 
 
-async def _once(
+async def _run_once(
     node: nodes.Node,
     request: requests.Request,
     call: ServiceCall,
     claim: claimses.ClaimResult | None,
     trying: set[str] | None = None,
 ) -> ServiceResponse:
-    made = ServiceRelay(node, request, call, claim)
-    await tries.run(node, request, made.attempt, trying)
-    assert made.response is not None
-    return made.response
+    service_relay = ServiceRelay(node, request, call, claim)
+    await tries.run(node, request, service_relay.attempt, trying)
+    assert service_relay.response is not None
+    return service_relay.response
 
 
-async def _hedged(
+async def _run_hedged(
     node: nodes.Node, request: requests.Request, call: ServiceCall
 ) -> ServiceResponse:
-    """Make a look-up, and a copy of it elsewhere if it takes long.
+    """Run a repeatable call; hedge it on another upstream if it is slow.
 
-    The first answer counts and ends the other copy.
+    The first response is returned and the other copy is cancelled.
     """
     delay_s = node.retries.hedges.delay_s(call.service, call.repeatable)
     if delay_s is None:
-        return await _once(node, request, call, None)
+        return await _run_once(node, request, call, None)
     trying: set[str] = set()
-    replies: list[ServiceResponse] = []
+    responses: list[ServiceResponse] = []
     failures: list[errors.RequestError] = []
 
-    async def copy(scope: trio.CancelScope) -> None:
+    async def send_copy(scope: trio.CancelScope) -> None:
         try:
-            reply = await _once(node, request, call, None, trying)
+            response = await _run_once(node, request, call, None, trying)
         except errors.RequestError as error:
             failures.append(error)
             return
-        replies.append(reply)
+        responses.append(response)
         scope.cancel()
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(copy, nursery.cancel_scope)
+        nursery.start_soon(send_copy, nursery.cancel_scope)
         await trio.sleep(delay_s)
-        first = next(iter(trying), '')
+        first_upstream = next(iter(trying), '')
         customer = request.caller.customer
-        settled = bool(replies or failures)
+        has_ended = bool(responses or failures)
         if (
-            first
-            and not settled
-            and node.retries.budget.allow(customer, first)
+            first_upstream
+            and not has_ended
+            and node.retries.budget.allow(customer, first_upstream)
         ):
             HEDGES.labels(call.service).inc()
-            nursery.start_soon(copy, nursery.cancel_scope)
-    if replies:
-        return replies[0]
+            nursery.start_soon(send_copy, nursery.cancel_scope)
+    if responses:
+        return responses[0]
     raise max(failures, key=lambda error: error.verdict)
 
 
 async def run(
     node: nodes.Node, request: requests.Request, call: ServiceCall
 ) -> ServiceResponse:
-    """Return the service's answer; raise RequestError with the verdict.
+    """Return the response; raise RequestError with the verdict.
 
-    Without an idempotency key an unrepeatable call is tried once.
+    An unrepeatable call without an idempotency key is sent once.
     """
     if not call.repeatable and call.idempotency_key is not None:
-        return await _claimed(node, request, call)
+        return await _run_claimed(node, request, call)
     if not call.repeatable:
-        return await _once(node, request, call, None)
+        return await _run_once(node, request, call, None)
     started_s = node.clock()
-    reply = await _hedged(node, request, call)
+    response = await _run_hedged(node, request, call)
     node.retries.hedges.report(call.service, node.clock() - started_s)
-    return reply
+    return response
--- a/gentianstair/entry/streams.py
+++ b/gentianstair/entry/streams.py
@@ -1,4 +1,4 @@
-"""Follow a streamed answer, so that it can be resumed and is never short."""
+"""Track a streamed response so that another engine can resume it."""
 
 import json
 import typing
@@ -9,7 +9,7 @@
 from gentianstair import verdict as verdicts
 from gentianstair.generated import messages
 
-# More than any engine can have counted for one request.
+# Upper bound on plausible token counts in an engine's usage.
 MAX_TOKEN_COUNT = 2**40
 EVENT_END = b'\n\n'
 DATA_PREFIX = b'data: '
@@ -19,7 +19,10 @@
 
 
 class Usage(typing.NamedTuple):
-    """Tokens of one request, as engines counted them."""
+    """Token counts of one request.
+
+    ``cached_tokens`` are prompt tokens found in the engine's prefix cache.
+    """
 
     prompt_tokens: int = 0
     output_tokens: int = 0
@@ -27,9 +30,9 @@
 
 
 def parse_usage(found: typing.Any) -> Usage:
-    """Return the figures of an engine's ``usage`` object.
+    """Return the counts of an engine's ``usage`` object.
 
-    Raise UpstreamError if it is none: customers are billed by it.
+    Raise UpstreamError if it is not valid, as customers are billed by it.
 
     >>> parse_usage({'prompt_tokens': 3, 'completion_tokens': 2})
     Usage(prompt_tokens=3, output_tokens=2, cached_tokens=0)
@@ -66,11 +69,11 @@
 
 
 def _event_text(event: bytes) -> str:
-    """Return the text that one event adds to the answer.
+    """Return the text that one event adds to the response.
 
     Raise RequestError if it adds anything else, such as a second choice or
-    a call of a tool: an engine that goes on after the text alone would
-    repeat or lose the rest, and the caller would take that for an answer.
+    a tool call: an engine that resumes from the text alone would repeat or
+    lose the rest, and the caller could not tell.
     """
     if not event.startswith(DATA_PREFIX):
         return ''
@@ -82,8 +85,11 @@
         (choice,) = choices
         delta = choice.get('delta') or {}
         text = choice.get('text') or delta.get('content') or ''
-        other = {name for name in delta if delta[name]} - {'role', 'content'}
-        if choice.get('index') or other or not isinstance(text, str):
+        other_fields = {name for name in delta if delta[name]} - {
+            'role',
+            'content',
+        }
+        if choice.get('index') or other_fields or not isinstance(text, str):
             raise _cannot_resume()
     except (ValueError, TypeError, AttributeError):
         raise _cannot_resume() from None
@@ -91,12 +97,16 @@
 
 
 class StreamedResponse:
-    """A streamed answer as it passes through.
+    """The events of a streamed response, over one or more attempts.
+
+    Only complete events are forwarded, so it is known what the caller has
+    received. Events are stored as bytes and parsed only to resume: parsing
+    each one would cost more than relaying it.
 
-    Only whole events are handed on, so that what the caller has is always
-    known. Events are kept as bytes and parsed only if the engine is lost:
-    most streams are whole, and parsing each chunk costs more than relaying
-    it.
+    ``delivered_tokens`` counts the events forwarded in all attempts, as an
+    event carries one token. ``usage`` is what the last engine reported.
+    ``has_finish_reason`` is true once the last token was forwarded, and
+    ``end_received`` once the engine sent its end-of-stream event.
     """
 
     def __init__(self, wants_usage: bool) -> None:
@@ -110,40 +120,41 @@
         self.end_received = False
 
     def feed(self, data: bytes) -> bytes:
-        """Return what may go to the caller of what the engine sent."""
+        """Add data from the engine; return the events to forward."""
         if self._partial:
             data = self._partial + data
             self._partial = b''
         if not data.endswith(EVENT_END):
-            cut = data.rfind(EVENT_END) + len(EVENT_END)
-            if cut < len(EVENT_END):
+            end = data.rfind(EVENT_END) + len(EVENT_END)
+            if end < len(EVENT_END):
                 self._partial = data
                 return b''
-            self._partial = data[cut:]
-            data = data[:cut]
+            self._partial = data[end:]
+            data = data[:end]
         if _USAGE_MARKER in data or b'[DONE]' in data:
             data = self._extract_ending(data)
-        elif any(mark in data for mark in _FINISH_MARKERS):
+        elif any(marker in data for marker in _FINISH_MARKERS):
             self.has_finish_reason = True
         self.delivered_tokens += data.count(DATA_PREFIX)
         self._events.append(data)
         return data
 
     def _extract_ending(self, data: bytes) -> bytes:
-        """Take usage and the end out of the last events of a stream."""
-        kept = []
+        """Return data without the usage and end-of-stream events."""
+        forwarded = []
         for event in data.split(EVENT_END)[:-1]:
             if event == b'data: [DONE]':
                 self.end_received = True
             elif _USAGE_MARKER in event and self._record_usage(event):
                 pass
             else:
-                if any(mark in event for mark in _FINISH_MARKERS):
+                if any(marker in event for marker in _FINISH_MARKERS):
                     self.has_finish_reason = True
-                kept.append(event + EVENT_END)
-        return b''.join(kept)
+                forwarded.append(event + EVENT_END)
+        return b''.join(forwarded)
 
     def _record_usage(self, event: bytes) -> bool:
+        """Store the usage of event; return whether it has nothing else."""
         try:
             body = json.loads(event[len(DATA_PREFIX) :])
         except ValueError:
@@ -155,9 +166,10 @@
         return not body.get('choices')
 
     def resume_text(self) -> str:
-        """Return the text that was delivered; forget a partial event.
+        """Start a new attempt and return the text delivered before it.
 
-        Raise RequestError if more than text was delivered.
+        Discard a partial event. Raise RequestError if anything but text was
+        delivered.
         """
         self._partial = b''
         self._earlier_tokens = self.delivered_tokens
@@ -166,40 +178,39 @@
 
     @property
     def attempt_tokens(self) -> int:
-        """Return how many tokens the present run has delivered."""
+        """Return how many tokens the current attempt has delivered."""
         return self.delivered_tokens - self._earlier_tokens
 
     def attempt_usage(self, prompt_tokens: int) -> Usage:
-        """Return what the present run is billed for.
+        """Return the usage to bill for the current attempt.
 
-        The prompt is billed once, with the run that began the answer; a
-        lost engine can no longer tell its count, so prompt_tokens and what
-        was delivered stand for it.
+        The prompt is billed only with the attempt that began the response.
+        If the engine was lost before it reported usage, prompt_tokens and
+        the delivered tokens are billed.
         """
-        made = self.attempt_tokens
+        delivered = self.attempt_tokens
         if self.usage is not None:
             found = self.usage
         else:
-            found = Usage(prompt_tokens if made else 0, made, 0)
+            found = Usage(prompt_tokens if delivered else 0, delivered, 0)
         if self._earlier_tokens:
             found = Usage(0, found.output_tokens, 0)
         return found
 
     def total_usage(self) -> Usage:
-        """Return the usage of all runs together.
+        """Return the usage of all attempts together.
 
-        Tokens of a lost run are counted as delivered: its engine can no
-        longer tell.
+        An attempt whose engine was lost counts with the tokens it delivered.
         """
         if self.usage is None:
             return Usage(0, self.delivered_tokens, 0)
-        made = self._earlier_tokens + self.usage.output_tokens
-        return self.usage._replace(output_tokens=made)
+        delivered = self._earlier_tokens + self.usage.output_tokens
+        return self.usage._replace(output_tokens=delivered)
 
     def final_events(self) -> bytes:
-        """Return the last events of the whole answer.
+        """Return the last events of the response.
 
-        Raise UpstreamError when the engine ended before its answer did.
+        Raise UpstreamError if the engine's stream is incomplete.
         """
         if not self.end_received or self._partial:
             raise errors.UpstreamError(
@@ -219,7 +230,7 @@
 
 
 def error_event(error: errors.RequestError, request_id: str) -> bytes:
-    """Return the event that ends a stream which cannot be completed."""
+    """Return the error event that ends an incomplete stream."""
     problem = {**error.to_problem(), 'request_id': request_id}
     body = {'error': {**problem, 'message': error.detail}}
     return DATA_PREFIX + json.dumps(body).encode() + EVENT_END
--- a/gentianstair/entry/upstream_monitor.py
+++ b/gentianstair/entry/upstream_monitor.py
@@ -1,4 +1,4 @@
-"""Keep what an entry process knows of its upstreams up to date."""
+"""Apply upstream objects and poll the load and cache reports of engines."""
 
 import collections.abc
 import typing
@@ -17,8 +17,10 @@
 
 LOAD_POLL_INTERVAL_S = 0.5
 LOAD_TIMEOUT_S = 2.0
+# How long an engine may hold a request for events until it has some.
 EVENTS_LONG_POLL_S = 2.0
 EVENTS_POLL_INTERVAL_S = 0.05
+# Delay after a failed poll.
 RETRY_S = 1.0
 HTTP_OK = 200
 STATE_ACTIVE = 'active'
@@ -28,11 +30,11 @@
 def upstream_info(
     name: str, value: messages.UpstreamValue
 ) -> routing.UpstreamInfo:
-    """Return what routing needs of an upstream's object.
+    """Return the routing information of an upstream's object.
 
-    A plain service is found by the names it serves, as an engine by its
-    models, but in a space of its own: a caller that asks for a service must
-    not reach an engine, past the check of who may use its models.
+    Names of plain services have a namespace apart from models, so that a
+    service call cannot reach an engine and bypass the check of who may use
+    its models.
     """
     names = value['models']
     if value['type'] != TYPE_ENGINE:
@@ -49,18 +51,18 @@
 
 
 def apply_upstreams(node: nodes.Node) -> dict[str, messages.UpstreamValue]:
-    """Tell routing, ejection and admission which upstreams there are.
+    """Set the upstreams of routing, ejection and admission.
 
-    A leaving upstream gets no new work from here on; requests that run
-    there go on.
+    Return them by name. An upstream that is draining gets no new requests;
+    requests in flight continue.
     """
-    found = {
+    upstreams = {
         name: typing.cast(messages.UpstreamValue, node.view.upstream(name))
         for name in node.view.names('upstream')
     }
-    infos = [upstream_info(name, value) for name, value in found.items()]
+    infos = [upstream_info(name, value) for name, value in upstreams.items()]
     node.router.set_upstreams(infos)
-    node.ejector.set_upstreams(set(found))
+    node.ejector.set_upstreams(set(upstreams))
     slots: dict[str, int] = {}
     for info in infos:
         for model in info.models:
@@ -68,113 +70,117 @@
             slots[model] = slots.get(model, 0) + ready
     for model, count in slots.items():
         node.queue.set_capacity(model, count)
-    return found
+    return upstreams
 
 
 def decode_report(body: bytes, kind: type) -> typing.Any:
-    """Return what an engine published; raise DecodeError if it is odd."""
+    """Return a decoded engine report; raise DecodeError if it is invalid."""
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.MsgspecError, RecursionError) as error:
         raise errors.DecodeError(str(error)) from error
 
 
-async def _get(node: nodes.Node, url: str, limit_s: float) -> bytes:
-    outgoing = httpx.Request('GET', url)
-    opened = relay.open_response(node, outgoing, limit_s)
-    async with opened as (found, _):
-        if found.status_code != HTTP_OK:
-            raise errors.DecodeError(f'status {found.status_code}')
-        return await relay.read_all(found)
+async def _fetch(node: nodes.Node, url: str, limit_s: float) -> bytes:
+    request = httpx.Request('GET', url)
+    response_context = relay.open_response(node, request, limit_s)
+    async with response_context as (response, _):
+        if response.status_code != HTTP_OK:
+            raise errors.DecodeError(f'status {response.status_code}')
+        return await relay.read_all(response)
 
 
 async def poll_forever(
-    read: collections.abc.Callable[[], collections.abc.Awaitable[None]],
+    poll: collections.abc.Callable[[], collections.abc.Awaitable[None]],
     name: str,
     interval_s: float,
 ) -> None:
-    """Call read again and again; wait longer after it failed.
+    """Call poll each interval_s, and RETRY_S after a failure.
 
-    An engine that is gone or publishes what we can't read is no reason to
-    stop: its state is then only known less well.
+    An engine that is unreachable or sends an invalid report must not stop the
+    process; routing then uses its last known state.
     """
     while True:
         try:
-            await read()
+            await poll()
         except errors.GentianstairError as error:
-            loguru.logger.debug('no report of {}: {}', name, error)
+            loguru.logger.debug(
+                'cannot read the report of {}: {}', name, error
+            )
             await trio.sleep(RETRY_S)
         else:
             await trio.sleep(interval_s)
 
 
-async def _follow_load(node: nodes.Node, name: str, url: str) -> None:
-    async def read() -> None:
-        body = await _get(node, f'{url}/load', LOAD_TIMEOUT_S)
+async def _poll_load(node: nodes.Node, name: str, url: str) -> None:
+    async def poll() -> None:
+        body = await _fetch(node, f'{url}/load', LOAD_TIMEOUT_S)
         report = decode_report(body, messages.LoadReport)
         node.router.on_load(name, report, node.clock())
 
-    await poll_forever(read, name, LOAD_POLL_INTERVAL_S)
+    await poll_forever(poll, name, LOAD_POLL_INTERVAL_S)
 
 
-async def _follow_cache(node: nodes.Node, name: str, url: str) -> None:
-    after = 0
+async def _poll_cache_events(node: nodes.Node, name: str, url: str) -> None:
+    last_seq = 0
 
-    async def read() -> None:
-        nonlocal after
-        path = f'/cache-events?after={after}&wait_s={EVENTS_LONG_POLL_S}'
-        body = await _get(
+    async def poll() -> None:
+        nonlocal last_seq
+        path = f'/cache-events?after={last_seq}&wait_s={EVENTS_LONG_POLL_S}'
+        body = await _fetch(
             node, url + path, EVENTS_LONG_POLL_S + LOAD_TIMEOUT_S
         )
-        found = decode_report(body, messages.CacheEvents)
-        events = found['events']
-        gap = bool(events) and events[0]['seq'] > after + 1
-        # An engine that started anew counts from the start again.
-        gap = gap or found['next'] < after
-        after = found['next']
+        batch = decode_report(body, messages.CacheEvents)
+        events = batch['events']
+        gap = bool(events) and events[0]['seq'] > last_seq + 1
+        # A restarted engine numbers its events from the start again.
+        gap = gap or batch['next'] < last_seq
+        last_seq = batch['next']
         node.router.on_cache_events(name, events, gap)
 
-    await poll_forever(read, name, EVENTS_POLL_INTERVAL_S)
+    await poll_forever(poll, name, EVENTS_POLL_INTERVAL_S)
 
 
-async def _follow(node: nodes.Node, name: str, url: str) -> None:
+async def _poll_engine(node: nodes.Node, name: str, url: str) -> None:
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_follow_load, node, name, url)
-        nursery.start_soon(_follow_cache, node, name, url)
+        nursery.start_soon(_poll_load, node, name, url)
+        nursery.start_soon(_poll_cache_events, node, name, url)
 
 
-def _wanted(
-    node: nodes.Node, found: dict[str, messages.UpstreamValue]
+def _select_engines(
+    node: nodes.Node, upstreams: dict[str, messages.UpstreamValue]
 ) -> dict[str, str]:
-    """Return the engines whose reports are worth reading, with their URLs."""
+    """Return the URLs of engines in the routing subset, by name."""
     models = {
         model
-        for value in found.values()
+        for value in upstreams.values()
         if value['type'] == TYPE_ENGINE
         for model in value['models']
     }
     names = {name for model in models for name in node.router.subset(model)}
     return {
-        name: found[name]['url']
+        name: upstreams[name]['url']
         for name in names
-        if name in found and found[name]['type'] == TYPE_ENGINE
+        if name in upstreams and upstreams[name]['type'] == TYPE_ENGINE
     }
 
 
 async def run(node: nodes.Node) -> None:
-    """Apply each change of the upstreams and follow their reports."""
+    """Apply each change of upstreams and poll the engines' reports."""
     scopes: dict[tuple[str, str], trio.CancelScope] = {}
 
-    async def follow(name: str, url: str, scope: trio.CancelScope) -> None:
+    async def poll_until_cancelled(
+        name: str, url: str, scope: trio.CancelScope
+    ) -> None:
         with scope:
-            await _follow(node, name, url)
+            await _poll_engine(node, name, url)
 
     async with trio.open_nursery() as nursery:
         while True:
-            wanted = set(_wanted(node, apply_upstreams(node)).items())
+            wanted = set(_select_engines(node, apply_upstreams(node)).items())
             for gone in set(scopes) - wanted:
                 scopes.pop(gone).cancel()
             for name, url in wanted - set(scopes):
                 scope = scopes[(name, url)] = trio.CancelScope()
-                nursery.start_soon(follow, name, url, scope)
+                nursery.start_soon(poll_until_cancelled, name, url, scope)
             await node.view.wait_change()
--- a/gentianstair/entry/usage.py
+++ b/gentianstair/entry/usage.py
@@ -1,4 +1,4 @@
-"""Count what customers use, and keep the counts in the store."""
+"""Count the usage of customers and write the counts to the store."""
 
 import collections.abc
 import contextlib
@@ -19,7 +19,7 @@
 PROGRESS_KIND = 'usage-progress'
 PROGRESS_NAME = 'current'
 PURPOSE = 'usage'
-# Rows of windows that were sealed so many windows ago are forgotten.
+# Rows are kept until more than this many later windows are sealed.
 KEPT_WINDOWS = 3
 RETRY_S = 0.5
 
@@ -35,7 +35,7 @@
 
 
 class UsageSettings(typing.NamedTuple):
-    """How usage is cut into windows and how soon it is flushed."""
+    """Length of usage windows, and the limits that trigger a flush."""
 
     window_s: float
     flush_interval_s: float
@@ -43,37 +43,37 @@
 
 
 class UsageRecorder:
-    """The counts of one run of an entry, its incarnation.
+    """Usage counts of one incarnation, a run of an entry process.
 
-    Counts only grow, and only this process writes its object, so a write
-    that is repeated or comes late cannot count anything twice.
+    Counts only grow, and only this process writes the incarnation's object,
+    so a repeated or delayed write cannot count anything twice.
     """
 
     def __init__(
         self,
         store: stores.Store,
         vm_name: str,
-        wall: WallClock,
+        wall_clock: WallClock,
         settings: UsageSettings,
     ) -> None:
         self._store = store
         self._vm_name = vm_name
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._settings = settings
         self._rows: dict[usage_rows.Key, messages.UsageRow] = {}
         self._flushed: dict[usage_rows.Key, messages.UsageRow] = {}
-        # Rows of writes whose answers were lost, by nonce.
-        self._unsettled: dict[str, dict] = {}
-        # Each counts what a running stream has delivered since it last did.
-        self._relayed: set[collections.abc.Callable[[], None]] = set()
-        self._full = trio.Event()
+        # Rows of writes with an unknown outcome, by nonce.
+        self._unconfirmed: dict[str, dict] = {}
+        # Each counts the tokens of one stream since its previous call.
+        self._stream_counters: set[collections.abc.Callable[[], None]] = set()
+        self._flush_due = trio.Event()
         self._lock = trio.Lock()
-        self._closed_below = 0
+        self._first_open_window = 0
         self.unflushed_tokens = 0
         self.has_unflushed = False
-        self._begin_incarnation()
+        self._start_incarnation()
 
-    def _begin_incarnation(self) -> None:
+    def _start_incarnation(self) -> None:
         self.incarnation = f'{self._vm_name}.{settled.new_nonce()}'
         self._version = 0
 
@@ -86,14 +86,13 @@
         prompt_tokens: int = 0,
         output_tokens: int = 0,
     ) -> None:
-        """Count usage in the present window.
+        """Count usage in the current window.
 
-        A stream should be counted piece by piece as it is relayed, and
-        before each write (see track_stream): what is not counted yet is lost
-        when this VM is killed.
+        Count a stream in parts while it is relayed, and before each flush
+        (see track_stream): uncounted usage is lost if this VM is killed.
         """
-        window = int(self._wall() // self._settings.window_s)
-        window = max(window, self._closed_below)
+        window = int(self._wall_clock() // self._settings.window_s)
+        window = max(window, self._first_open_window)
         row: messages.UsageRow = {
             'window': window,
             'customer': customer,
@@ -103,46 +102,48 @@
             'output_tokens': output_tokens,
         }
         key = usage_rows.key_of(row)
-        known = self._rows.get(key)
-        self._rows[key] = row if known is None else usage_rows.plus(known, row)
+        counted = self._rows.get(key)
+        self._rows[key] = (
+            row if counted is None else usage_rows.plus(counted, row)
+        )
         self.has_unflushed = True
         self.unflushed_tokens += prompt_tokens + output_tokens
         UNFLUSHED_TOKENS.set(self.unflushed_tokens)
         if self.unflushed_tokens >= self._settings.max_unflushed_tokens:
-            self._full.set()
+            self._flush_due.set()
 
     @contextlib.contextmanager
     def track_stream(
-        self, count_part: collections.abc.Callable[[], None]
+        self, count_delivered: collections.abc.Callable[[], None]
     ) -> collections.abc.Iterator[None]:
-        """Have a stream's part counted before each write in this context."""
-        self._relayed.add(count_part)
+        """Call count_delivered before each flush within this context."""
+        self._stream_counters.add(count_delivered)
         try:
             yield
         finally:
-            self._relayed.remove(count_part)
+            self._stream_counters.remove(count_delivered)
 
     async def run(self) -> None:
-        """Flush until cancelled."""
+        """Flush periodically until cancelled."""
         while True:
             with trio.move_on_after(self._settings.flush_interval_s):
-                await self._full.wait()
-            self._full = trio.Event()
+                await self._flush_due.wait()
+            self._flush_due = trio.Event()
             try:
                 await self.flush()
-                await self._forget_sealed()
+                await self._drop_sealed_rows()
             except errors.StoreError:
                 FLUSHES.labels('failed').inc()
                 await trio.sleep(RETRY_S)
 
     async def flush(self) -> None:
-        """Write all counts; raise StoreError when they are not yet kept.
+        """Write all counts; raise StoreError if they are not stored.
 
-        Call it once more at a planned stop, after the last request.
+        Call it at a planned stop as well, after the last request.
         """
         async with self._lock:
-            for count_part in self._relayed:
-                count_part()
+            for count_delivered in self._stream_counters:
+                count_delivered()
             if not self.has_unflushed:
                 return
             rows = dict(self._rows)
@@ -170,46 +171,51 @@
                 purpose=PURPOSE,
             )
         except errors.StoreUnknownError:
-            self._unsettled[value['nonce']] = rows
+            self._unconfirmed[value['nonce']] = rows
             raise
         except errors.StoreConflictError:
-            await self._catch_up()
+            await self._resolve_conflict()
             raise
-        self._unsettled.clear()
+        self._unconfirmed.clear()
+
+    async def _resolve_conflict(self) -> None:
+        """Find out why the stored object has an unexpected version.
 
-    async def _catch_up(self) -> None:
-        """Find why our object has another version than we wrote last."""
+        Either a write with an unknown outcome was applied, or the object was
+        deleted.
+        """
         item = await self._store.get(KIND, self.incarnation, purpose=PURPOSE)
         if item.value is None:
-            # It was deleted after all in it had been sealed, for this
-            # process was silent for long. What it had not written yet goes
-            # on under a new name; what it may have written is left out.
+            # It was deleted after all its rows were sealed, as this process
+            # had not written for long. Counts that cannot have been written
+            # continue in a new incarnation.
             written = dict(self._flushed)
-            for rows in self._unsettled.values():
+            for rows in self._unconfirmed.values():
                 written.update(rows)
-            self._keep_above(written)
-            self._begin_incarnation()
-            self._unsettled.clear()
-        elif item.value['nonce'] in self._unsettled:
+            self._subtract_written(written)
+            self._start_incarnation()
+            self._unconfirmed.clear()
+        elif item.value['nonce'] in self._unconfirmed:
             self._version = item.version
-            self._flushed = self._unsettled[item.value['nonce']]
-            self._unsettled.clear()
+            self._flushed = self._unconfirmed[item.value['nonce']]
+            self._unconfirmed.clear()
 
-    def _keep_above(self, written: dict) -> None:
-        left = {
+    def _subtract_written(self, written: dict) -> None:
+        """Keep only the counts above those of written."""
+        remaining = {
             key: usage_rows.minus(row, written.get(key))
             for key, row in self._rows.items()
         }
         self._rows = {
             key: row
-            for key, row in left.items()
+            for key, row in remaining.items()
             if not usage_rows.is_empty(row)
         }
         self._flushed = {}
 
-    async def _forget_sealed(self) -> None:
-        """Drop rows of windows sealed long ago, once they are accounted."""
-        now = int(self._wall() // self._settings.window_s)
+    async def _drop_sealed_rows(self) -> None:
+        """Drop rows of old sealed windows that the seal accounts for."""
+        now = int(self._wall_clock() // self._settings.window_s)
         if all(key[0] >= now - KEPT_WINDOWS for key in self._rows):
             return
         item = await self._store.get(
@@ -227,18 +233,21 @@
         for row in accounted:
             key = usage_rows.key_of(row)
             if row['window'] < limit and self._rows.get(key) == row:
-                # A forgotten row must not start again from zero, as it
-                # would look smaller than what is accounted.
-                self._closed_below = max(self._closed_below, limit)
+                # A dropped row must not restart from zero, as it would be
+                # below the accounted count.
+                self._first_open_window = max(self._first_open_window, limit)
                 del self._rows[key]
                 self.has_unflushed = True
 
 
 def make_usage_recorder(
-    store: stores.Store, vm_name: str, wall: WallClock, settings: UsageSettings
+    store: stores.Store,
+    vm_name: str,
+    wall_clock: WallClock,
+    settings: UsageSettings,
 ) -> UsageRecorder:
-    """Return the counts of a new incarnation; its run must be running.
+    """Return a recorder with a new incarnation; start its run method.
 
-    wall returns seconds since 1970, for example ``time.time``.
+    wall_clock returns seconds since 1970, for example ``time.time``.
     """
-    return UsageRecorder(store, vm_name, wall, settings)
+    return UsageRecorder(store, vm_name, wall_clock, settings)
--- a/test/entry/test_cut_connections.py
+++ b/test/entry/test_cut_connections.py
@@ -47,7 +47,7 @@
     node = types.SimpleNamespace(
         clock=time.monotonic, explanations=explanations
     )
-    monkeypatch.setattr(handlers.Handler, '_route', route)
+    monkeypatch.setattr(handlers.Handler, '_handle', route)
     handler = handlers.Handler(node, exchanges.Exchange(scope, None, None))
     with trio.move_on_after(0.1):
         await handler.serve()
