--- a/gentianstair/entry/relay.py
+++ b/gentianstair/entry/relay.py
@@ -1,4 +1,4 @@
-"""Relay completions between callers and engines."""
+"""Relay completions from engines to callers."""
 
 import collections.abc
 import contextlib
@@ -19,12 +19,15 @@
 from gentianstair.entry import streams
 from gentianstair.upstreams import transport
 
-NOT_STARTED = 'x-not-started'
-EVENT_STREAM = b'text/event-stream'
-JSON = 'application/json'
-MAX_ANSWER_BYTES = 16 * 1024 * 1024
-BILL_STEP_TOKENS = 64
-BILL_STEP_MARGIN = 4
+# Set to 1 by an engine that did not start to run the request.
+NOT_STARTED_HEADER = 'x-not-started'
+EVENT_STREAM_TYPE = b'text/event-stream'
+JSON_TYPE = 'application/json'
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+# Tokens that a stream delivers between two updates of its usage.
+BILLING_STEP_TOKENS = 64
+# Tokens per step not billed until the end, as events may have no token.
+BILLING_MARGIN_TOKENS = 4
 
 
 def engine_request(
@@ -33,7 +36,7 @@
     path: str,
     body: bytes,
 ) -> httpx.Request:
-    """Return the request for an engine; no header of the caller is in it."""
+    """Return the request for an engine, without any header of the caller."""
     headers = [
         (b'content-type', b'application/json'),
         (b'x-request-id', request.request_id.encode()),
@@ -43,86 +46,96 @@
 
 
 def check_status(response: httpx.Response) -> None:
-    """Raise UpstreamError for an answer that is no answer.
+    """Raise UpstreamError for a status that means a failed attempt.
 
-    An engine that says it did not start is believed, so such a try counts
-    as not run; any other failure may have run.
+    The verdict is NOT_RUN if the engine says that it did not start, and
+    MAY_HAVE_RUN for any other failure.
     """
     status = response.status_code
     if status < 500 and status != 429:
         return
     verdict = verdicts.Verdict.MAY_HAVE_RUN
-    if response.headers.get(NOT_STARTED) == '1':
+    if response.headers.get(NOT_STARTED_HEADER) == '1':
         verdict = verdicts.Verdict.NOT_RUN
     raise errors.UpstreamError(f'the upstream answered {status}', verdict)
 
 
-class Guard:
-    """End a try whose upstream has fallen silent.
+class StallTimeout:
+    """Cancel an attempt whose upstream sends nothing for too long.
 
-    Moving a deadline at each token costs more than it is worth, so it moves
-    in steps: a silence ends after limit_s at the least and an eighth more at
-    the most. While the caller is written to, the wait is not the
-    upstream's, and the server bounds it.
+    The deadline is extended in steps rather than at each token, to save
+    work: it passes limit_s to limit_s * 9 / 8 after the last data.
+    ``waiting_for_caller`` is true while data is written to the caller; a
+    timeout is then not the fault of the upstream.
     """
 
     def __init__(self, scope: trio.CancelScope, limit_s: float) -> None:
         self._scope = scope
         self._limit_s = limit_s
-        self._step_s = limit_s / 8
-        self._next_s = 0.0
-        self.caller_waits = False
-        self.progress()
-
-    def progress(self) -> None:
-        """Note that the upstream sent something."""
-        self.caller_waits = False
+        self._update_interval_s = limit_s / 8
+        self._next_update_s = 0.0
+        self.waiting_for_caller = False
+        self.record_progress()
+
+    def record_progress(self) -> None:
+        """Extend the deadline, as the upstream sent something."""
+        self.waiting_for_caller = False
         now_s = trio.current_time()
-        if now_s >= self._next_s:
-            self._next_s = now_s + self._step_s
-            self._scope.deadline = now_s + self._limit_s + self._step_s
+        if now_s >= self._next_update_s:
+            self._next_update_s = now_s + self._update_interval_s
+            self._scope.deadline = (
+                now_s + self._limit_s + self._update_interval_s
+            )
 
 
 @contextlib.asynccontextmanager
 async def open_response(
-    node: nodes.Node, outgoing: httpx.Request, stall_s: float
-) -> collections.abc.AsyncIterator[tuple[httpx.Response, Guard]]:
-    """Yield the response at its headers, and the guard of its body."""
+    node: nodes.Node, upstream_request: httpx.Request, stall_s: float
+) -> collections.abc.AsyncIterator[tuple[httpx.Response, StallTimeout]]:
+    """Yield the response once its headers came, and its stall timeout.
+
+    Raise UpstreamError if the upstream stalls, CallerDisconnectedError if
+    the caller does.
+    """
     response = None
     with trio.CancelScope() as scope:
-        guard = Guard(scope, stall_s)
+        stall_timeout = StallTimeout(scope, stall_s)
         try:
-            response = await node.transport.handle_async_request(outgoing)
-            yield response, guard
+            response = await node.transport.handle_async_request(
+                upstream_request
+            )
+            yield response, stall_timeout
         finally:
             if response is not None:
-                with trio.CancelScope(shield=True, deadline=_soon()):
+                with trio.CancelScope(
+                    shield=True, deadline=_close_deadline_s()
+                ):
                     await response.stream.aclose()
     if not scope.cancelled_caught:
         return
-    if guard.caller_waits:
+    if stall_timeout.waiting_for_caller:
         raise exchanges.CallerDisconnectedError('the caller stopped reading')
     raise errors.UpstreamError(
         f'no data for {stall_s:g} s', verdicts.Verdict.MAY_HAVE_RUN
     )
 
 
-def _soon() -> float:
+def _close_deadline_s() -> float:
     return trio.current_time() + 1.0
 
 
 async def read_all(response: httpx.Response) -> bytes:
-    """Return a whole body; raise UpstreamError for one that is too long."""
-    return await transport.read_all(response, MAX_ANSWER_BYTES)
+    """Return the body; raise UpstreamError if it is too long."""
+    return await transport.read_all(response, MAX_RESPONSE_BYTES)
 
 
-def bill(
+def record_usage(
     node: nodes.Node,
     request: requests.Request,
     tried: attempts.Attempt,
     usage: streams.Usage,
 ) -> None:
-    """Count tokens for the request's customer and the upstream's kind."""
+    """Record usage for the customer and the upstream's capacity class."""
     if usage == streams.Usage():
         return
     node.usage.count(
@@ -134,8 +147,8 @@
     )
 
 
-class Streaming:
-    """A streamed answer over as many engines as it takes."""
+class StreamingRelay:
+    """Stream a response, resuming it on another engine after a failure."""
 
     def __init__(
         self,
@@ -150,122 +163,137 @@
         self._request = request
         self._completion = completion
         self._model = model
-        self._billed = 0
-        self.answer = streams.Answer(completion.wants_usage)
+        self._billed_tokens = 0
+        self.response = streams.StreamedResponse(completion.wants_usage)
 
     async def attempt(self, tried: attempts.Attempt) -> streams.Usage:
-        """Stream from one engine, going on after what was delivered."""
+        """Stream from one engine, continuing after the delivered text."""
         node = self._node
-        if self.answer.finished:
-            # The engine was lost after the last word, before its end.
-            self.answer.done = True
-            return self.answer.total()
+        if self.response.has_finish_reason:
+            # The engine was lost after the last token, before the end of its
+            # stream.
+            self.response.end_received = True
+            return self.response.total_usage()
         body = completions.engine_body(
-            self._completion, self._model, self.answer.resume_text()
+            self._completion, self._model, self.response.resume_text()
         )
-        outgoing = engine_request(
+        upstream_request = engine_request(
             self._request, tried, self._completion.path, body
         )
         stall_s = node.settings.upstream_stall_s
         try:
-            opened = open_response(node, outgoing, stall_s)
-            async with opened as (found, guard):
-                check_status(found)
-                if found.status_code != 200:
-                    await self._refused(found)
+            response_context = open_response(node, upstream_request, stall_s)
+            async with response_context as (upstream_response, stall_timeout):
+                check_status(upstream_response)
+                if upstream_response.status_code != 200:
+                    await self._forward_refusal(upstream_response)
                     return streams.Usage()
-                await self._start()
-                self._billed = 0
-                bill_part = functools.partial(self._bill_part, tried)
-                with node.usage.relaying(bill_part):
-                    await self._copy(found, guard, tried, bill_part)
-            self.answer.ending()
+                await self._start_response()
+                self._billed_tokens = 0
+                bill_delivered = functools.partial(self._bill_delivered, tried)
+                with node.usage.track_stream(bill_delivered):
+                    await self._forward_stream(
+                        upstream_response, stall_timeout, tried, bill_delivered
+                    )
+            self.response.final_events()
         finally:
-            # Each run is billed by itself, also one that was cut, since
-            # the runs of one answer may be on upstreams of other kinds.
-            used = self.answer.run_usage(self._request.work.prompt_tokens)
-            left = max(0, used.output_tokens - self._billed)
-            bill(node, self._request, tried, used._replace(output_tokens=left))
-        return self.answer.total()
-
-    async def _refused(self, found: httpx.Response) -> None:
-        """Hand on an engine's own refusal, such as a bad field."""
-        body = await read_all(found)
+            # Each attempt is billed separately, even if it failed, since
+            # attempts may use upstreams of different capacity classes.
+            usage = self.response.attempt_usage(
+                self._request.work.prompt_tokens
+            )
+            unbilled = max(0, usage.output_tokens - self._billed_tokens)
+            record_usage(
+                node,
+                self._request,
+                tried,
+                usage._replace(output_tokens=unbilled),
+            )
+        return self.response.total_usage()
+
+    async def _forward_refusal(
+        self, upstream_response: httpx.Response
+    ) -> None:
+        """Forward an engine's refusal, such as of an invalid field."""
+        body = await read_all(upstream_response)
         if self._exchange.started:
             raise errors.UpstreamError(
-                f'the upstream answered {found.status_code} to a resumption',
+                f'the upstream answered {upstream_response.status_code} '
+                'to a resumption',
                 verdicts.Verdict.MAY_HAVE_RUN,
             )
         await self._exchange.respond(
-            found.status_code,
-            found.headers.get('content-type', JSON),
+            upstream_response.status_code,
+            upstream_response.headers.get('content-type', JSON_TYPE),
             body,
-            answer_headers(self._request),
+            response_headers(self._request),
         )
 
-    async def _start(self) -> None:
+    async def _start_response(self) -> None:
         if self._exchange.started:
             return
         headers = [
-            (b'content-type', EVENT_STREAM),
+            (b'content-type', EVENT_STREAM_TYPE),
             (b'cache-control', b'no-cache'),
-            *answer_headers(self._request),
+            *response_headers(self._request),
         ]
         await self._exchange.start(200, headers)
 
-    async def _copy(
+    async def _forward_stream(
         self,
-        found: httpx.Response,
-        guard: Guard,
+        upstream_response: httpx.Response,
+        stall_timeout: StallTimeout,
         tried: attempts.Attempt,
-        bill_part: collections.abc.Callable[[], None],
+        bill_delivered: collections.abc.Callable[[], None],
     ) -> None:
-        answer = self.answer
+        response = self.response
         write = self._exchange.write
-        bill_at = answer.tokens + BILL_STEP_TOKENS
-        first = True
-        async for data in found.stream:
-            out = answer.feed(data)
-            if out:
-                if first:
-                    first = False
+        bill_at = response.delivered_tokens + BILLING_STEP_TOKENS
+        is_first = True
+        async for data in upstream_response.stream:
+            events = response.feed(data)
+            if events:
+                if is_first:
+                    is_first = False
                     tried.first_token()
-                guard.caller_waits = True
-                await write(out)
-            guard.progress()
-            if answer.tokens >= bill_at:
-                bill_at += BILL_STEP_TOKENS
-                bill_part()
-
-    def _bill_part(self, tried: attempts.Attempt) -> None:
-        """Count what was delivered of an answer before its end.
-
-        What is not counted is lost if this VM is killed, and a stream may
-        run for minutes. It is a little less than was delivered, since an
-        engine may send an event without a token.
+                stall_timeout.waiting_for_caller = True
+                await write(events)
+            stall_timeout.record_progress()
+            if response.delivered_tokens >= bill_at:
+                bill_at += BILLING_STEP_TOKENS
+                bill_delivered()
+
+    def _bill_delivered(self, tried: attempts.Attempt) -> None:
+        """Record usage of a running stream.
+
+        Usage that is not recorded is lost if this VM is killed, and a stream
+        may run for minutes. A margin stays unbilled until the end,
+        since an engine may send events without a token.
         """
-        made = self.answer.run_tokens
-        steps = -(-made // BILL_STEP_TOKENS)
-        tokens = made - BILL_STEP_MARGIN * steps - self._billed
+        delivered = self.response.attempt_tokens
+        steps = -(-delivered // BILLING_STEP_TOKENS)
+        tokens = (
+            delivered - BILLING_MARGIN_TOKENS * steps - self._billed_tokens
+        )
         if tokens <= 0:
             return
-        self._billed += tokens
-        used = streams.Usage(output_tokens=tokens)
-        bill(self._node, self._request, tried, used)
+        self._billed_tokens += tokens
+        usage = streams.Usage(output_tokens=tokens)
+        record_usage(self._node, self._request, tried, usage)
 
     async def run(self, attempt: attempts.RunAttempt) -> streams.Usage:
-        """Stream the whole answer; raise RequestError if it can't be had.
+        """Stream the complete response; raise RequestError if that fails.
 
-        attempt is the method above, or one that goes around it.
+        attempt is the method of this object, or a wrapper of it.
         """
         usage = await attempts.run(self._node, self._request, attempt)
         if not self._exchange.ended:
-            await self._exchange.end(self.answer.ending())
+            await self._exchange.end(self.response.final_events())
         return usage
 
 
-class Whole:
-    """An answer that is sent at once when it is complete."""
+class BufferedRelay:
+    """Read a complete response from an engine before it is sent."""
 
     def __init__(
         self,
@@ -279,22 +307,27 @@
         self._completion = completion
         self._model = model
         self.status = 0
-        self.content_type = JSON
+        self.content_type = JSON_TYPE
         self.body = b''
 
     async def attempt(self, tried: attempts.Attempt) -> streams.Usage:
-        """Take the whole answer of one engine."""
+        """Read the complete response of one engine."""
         node = self._node
         body = completions.engine_body(self._completion, self._model)
-        outgoing = engine_request(
+        upstream_request = engine_request(
             self._request, tried, self._completion.path, body
         )
-        left_s = self._request.work.deadline_s - node.clock()
-        async with open_response(node, outgoing, left_s) as (found, _):
-            check_status(found)
-            self.status = found.status_code
-            self.content_type = found.headers.get('content-type', JSON)
-            self.body = await read_all(found)
+        remaining_s = self._request.work.deadline_s - node.clock()
+        async with open_response(node, upstream_request, remaining_s) as (
+            upstream_response,
+            _,
+        ):
+            check_status(upstream_response)
+            self.status = upstream_response.status_code
+            self.content_type = upstream_response.headers.get(
+                'content-type', JSON_TYPE
+            )
+            self.body = await read_all(upstream_response)
         tried.first_token()
         if self.status != 200:
             return streams.Usage()
@@ -304,17 +337,17 @@
             raise errors.UpstreamError(
                 'the answer is not whole', verdicts.Verdict.MAY_HAVE_RUN
             ) from error
-        bill(node, self._request, tried, usage)
+        record_usage(node, self._request, tried, usage)
         return usage
 
     async def run(self, attempt: attempts.RunAttempt) -> streams.Usage:
-        """Return the usage once status and body are set.
+        """Return the usage, with status, content_type and body set.
 
-        attempt is the method above, or one that goes around it.
+        attempt is the method of this object, or a wrapper of it.
         """
         return await attempts.run(self._node, self._request, attempt)
 
 
-def answer_headers(request: requests.Request) -> exchanges.Headers:
-    """Return the headers that every answer of ours carries."""
+def response_headers(request: requests.Request) -> exchanges.Headers:
+    """Return the headers that are set on every completion response."""
     return [(b'x-request-id', request.request_id.encode())]
