--- a/gentianstair/control/config_watch.py
+++ b/gentianstair/control/config_watch.py
@@ -10,7 +10,7 @@
 KINDS = ('upstream', 'bundle', 'accepted', 'customer')
 PURPOSE = 'config'
 WATCH_TIMEOUT_S = 20.0
-RETRY_DELAY_S = 0.5
+RETRY_PAUSE_S = 0.5
 
 
 async def _list_all(store: stores.Store, view: views.View) -> int:
@@ -39,4 +39,4 @@
             revision = -1
         except errors.StoreError as error:
             loguru.logger.warning('watching the configuration: {}', error)
-            await trio.sleep(RETRY_DELAY_S)
+            await trio.sleep(RETRY_PAUSE_S)
--- a/gentianstair/control/duties.py
+++ b/gentianstair/control/duties.py
@@ -64,7 +64,7 @@
     return engines
 
 
-def order_target(
+def engine_target(
     name: str, value: messages.UpstreamValue
 ) -> engine_orders.EngineTarget:
     """Return the target of orders to an engine."""
@@ -110,7 +110,7 @@
             order = await _drain_order(context, value['url'], leaving, state)
             if order is not None:
                 await context.orders.order(
-                    authority, order_target(name, value), order, ''
+                    authority, engine_target(name, value), order, ''
                 )
         except errors.UpstreamError as error:
             loguru.logger.info('{}: {}', name, error)
--- a/gentianstair/control/main.py
+++ b/gentianstair/control/main.py
@@ -16,7 +16,7 @@
 from gentianstair.control import duties
 from gentianstair.control import engine_orders
 from gentianstair.control import lease
-from gentianstair.control import planning
+from gentianstair.control import role_duty
 from gentianstair.control import upstream_orders
 from gentianstair.control import usage_sealer
 from gentianstair.generated import settings as generated
@@ -129,7 +129,7 @@
     """
     check_order_lifetime(config)
     if config.plan_roles:
-        planning.add_duties()
+        role_duty.add_duties()
     sock = serving.listen(config.listen)
     context = make_context(config)
     # Unique to this start, so that a restarted process does not mistake its
--- a/gentianstair/control/planning.py
+++ b/gentianstair/control/role_duty.py
@@ -25,7 +25,7 @@
 MAX_SAMPLES = 500
 
 
-class Served(typing.NamedTuple):
+class ServedWork(typing.NamedTuple):
     """Requests and tokens that all entries counted between two reads."""
 
     requests: int
@@ -48,7 +48,7 @@
         ] = {}
         self._last_read_s: float | None = None
 
-    async def read(self, context: duties.Context) -> Served | None:
+    async def read(self, context: duties.Context) -> ServedWork | None:
         """Return the work served since the last read, None at the first."""
         listing = await context.store.list(usage.KIND, purpose=PURPOSE)
         now_s = context.clock()
@@ -66,7 +66,7 @@
         self._last_rows, self._last_read_s = rows, now_s
         if last_read_s is None:
             return None
-        return Served(*counts, now_s - last_read_s)
+        return ServedWork(*counts, now_s - last_read_s)
 
 
 class RoleDuty:
@@ -98,7 +98,7 @@
             planner = self._planner(authority, models)
             if served is not None:
                 share = len(group) / max(1, active_engines)
-                _feed_planner(planner, served, share, context.clock())
+                _observe_served(planner, served, share, context.clock())
             for change in planner.plan(group, context.clock()):
                 await self._order(context, authority, engines, change)
 
@@ -126,7 +126,9 @@
         loguru.logger.info(
             'role {} for {}: {}', change.role, change.upstream, change.inputs
         )
-        target = duties.order_target(change.upstream, engines[change.upstream])
+        target = duties.engine_target(
+            change.upstream, engines[change.upstream]
+        )
         await context.orders.order(authority, target, 'set_role', change.role)
 
 
@@ -170,9 +172,9 @@
         return role_planner.EngineView(name, value['role'], UNREACHABLE, 0)
 
 
-def _feed_planner(
+def _observe_served(
     planner: role_planner.RolePlanner,
-    served: Served,
+    served: ServedWork,
     share: float,
     now_s: float,
 ) -> None:
@@ -204,4 +206,4 @@
     )
 
 
-__all__ = ('UsageReader', 'RoleDuty', 'Served', 'add_duties')
+__all__ = ('UsageReader', 'RoleDuty', 'ServedWork', 'add_duties')
--- a/gentianstair/gateway/cache_updates.py
+++ b/gentianstair/gateway/cache_updates.py
@@ -36,8 +36,8 @@
 class CacheUpdates:
     """Applies changes of the replicas' caches, and logs them for peers."""
 
-    def __init__(self, cache: prefix_index.PrefixIndex) -> None:
-        self._cache = cache
+    def __init__(self, index: prefix_index.PrefixIndex) -> None:
+        self._index = index
         # The newest sequence seen, by replica and part.
         self._sequences: dict[str, dict[str, int]] = {}
         # Changes polled by this VM and its leaves, for the other hubs; on a
@@ -56,7 +56,7 @@
         sequences = self._sequences.setdefault(change.replica, {})
         if sequences.get(change.part, -1) >= change.sequence:
             return
-        self._cache.update(change.replica, change.part, change.tokens)
+        self._index.update(change.replica, change.part, change.tokens)
         key = (change.replica, change.part)
         if change.tokens < MIN_SHARED_TOKENS and key not in self.leaf_log:
             return
@@ -78,7 +78,7 @@
 
     def forget(self, replica: str) -> None:
         """Forget a replica that left or restarted with an empty cache."""
-        self._cache.forget(replica)
+        self._index.forget(replica)
         for part in self._sequences.pop(replica, ()):
             self.hub_log.drop((replica, part))
             self.leaf_log.drop((replica, part))
--- a/gentianstair/gateway/cache_watch.py
+++ b/gentianstair/gateway/cache_watch.py
@@ -18,7 +18,7 @@
 # probes.
 POLL_TIMEOUT_S = 1.0
 # Added to it, the longest wait for an answer.
-ANSWER_GRACE_S = 0.8
+RESPONSE_GRACE_S = 0.8
 # Pause after a failed call.
 RETRY_PAUSE_S = 0.5
 # Pause between calls, so that one answer returns several changes.
@@ -50,7 +50,7 @@
                 if replica.stage
             }
             for start in known - set(starts):
-                node.cache_news.forget(start.name)
+                node.cache_updates.forget(start.name)
             known = set(starts)
             followed = node.roster.followed_replicas()
             wanted = {start for start in starts if start.name in followed}
@@ -78,7 +78,7 @@
                 )
                 changes = wire.decode_cache_events(await _call(node, request))
                 if epoch is not None and changes.epoch != epoch:
-                    node.cache_news.forget(replica.name)
+                    node.cache_updates.forget(replica.name)
                 epoch, since = changes.epoch, changes.next
                 _apply(
                     node, replica, changes, node.roster.shares_cache_updates()
@@ -104,7 +104,7 @@
     to_hubs: bool,
 ) -> None:
     for part, sequence, tokens in changes.changes:
-        node.cache_news.apply(
+        node.cache_updates.apply(
             cache_updates.Change(replica.name, part, sequence, tokens), to_hubs
         )
 
@@ -118,7 +118,7 @@
     they would be prefilled again on other replicas. The list is costly for
     the replica, so only a few VMs read it and forward it.
     """
-    lists_cache = node.roster.reads_cache_list(replica.name)
+    lists_cache = node.roster.lists_cache(replica.name)
     loguru.logger.bind(
         event=events.CACHE_GAP, replica=replica.name, listed=lists_cache
     ).info('missed changes of a replica cache')
@@ -134,7 +134,7 @@
 
 async def _call(node: nodes.Node, request: httpx.Request) -> bytes:
     """Return the body of a replica's answer; raise DecodeError if none."""
-    with trio.move_on_after(POLL_TIMEOUT_S + ANSWER_GRACE_S):
+    with trio.move_on_after(POLL_TIMEOUT_S + RESPONSE_GRACE_S):
         response = await node.transport.handle_async_request(request)
         try:
             body = await forward.read_body(response)
--- a/gentianstair/gateway/deployment.py
+++ b/gentianstair/gateway/deployment.py
@@ -27,7 +27,7 @@
     usage_window_s: float
     usage_late_s: float
     # The file's ``retry_after_s``; the gateway does not use it.
-    prefix_reuse_s: float
+    retry_after_s: float
 
 
 class Deployment(typing.NamedTuple):
--- a/gentianstair/gateway/handler.py
+++ b/gentianstair/gateway/handler.py
@@ -222,7 +222,7 @@
         request = self._request = self._make_request_state(
             call, body, route, customer
         )
-        node.repeats.record_request(request.service)
+        node.retry_budget.record_request(request.service)
         await self._run_to_deadline(
             request, active_catalog.services.get(request.service)
         )
@@ -297,7 +297,7 @@
             self._exchange,
             functools.partial(self._forward, request, service),
             request.remaining_s(),
-            self._node.grace,
+            self._node.grace_period,
         )
         if end is request_lifetime.EndReason.DONE:
             return
--- a/gentianstair/gateway/hub_client.py
+++ b/gentianstair/gateway/hub_client.py
@@ -19,12 +19,12 @@
 # How often a leaf sends its load and gets the feed in return.
 REPORT_INTERVAL_S = 0.25
 # Timeout of the hub's answer to a report.
-ANSWER_TIMEOUT_S = 0.5
+RESPONSE_TIMEOUT_S = 0.5
 OPEN_TIMEOUT_S = 0.6
 # How long a hub that failed, or that lost the store, is passed over.
 HUB_COOLDOWN_S = 4.0
 # A leaf changes to another hub if the store last answered its hub longer ago
-# than this. Together with ANSWER_TIMEOUT_S it must be less than the two
+# than this. Together with RESPONSE_TIMEOUT_S it must be less than the two
 # seconds within which a draining replica may still get new work, and it must
 # be more than the timeout of a hub's watch.
 MAX_STORE_AGE_S = 0.9
@@ -70,7 +70,7 @@
         roster = self._node.roster
         if roster.is_hub():
             return None
-        own, now_s = roster.own, self._node.clock()
+        own, now_s = roster.own_vm, self._node.clock()
         preferred = hubs.by_preference(
             own.name, own.failure_domain, roster.hubs()
         )
@@ -113,7 +113,7 @@
         process = ''
         try:
             while not node.roster.is_hub():
-                position = node.cache_news.hub_log.position
+                position = node.cache_updates.hub_log.position
                 await channel.send(
                     link.encode(self._make_report(sent_position))
                 )
@@ -132,18 +132,18 @@
                 await trio.sleep(REPORT_INTERVAL_S)
             return ''
         finally:
-            node.loads.remove_peer(process)
+            node.load_tracker.remove_peer(process)
 
     def _make_report(self, sent_position: int) -> messages.GatewayLoad:
         node = self._node
         return load_message(
-            node, node.loads.local(), sent_position, is_leaf=True
+            node, node.load_tracker.local(), sent_position, is_leaf=True
         )
 
     async def _receive_feed(
         self, channel: link.Channel
     ) -> messages.GatewayFeed | None:
-        with trio.move_on_after(ANSWER_TIMEOUT_S):
+        with trio.move_on_after(RESPONSE_TIMEOUT_S):
             while True:
                 try:
                     message = link.decode(await channel.receive())
@@ -160,10 +160,10 @@
         if 'config' in feed:
             updates.apply_config(feed['config'])
         age_s = feed['age_ms'] / 1000
-        node.loads.update_peer(
+        node.load_tracker.update_peer(
             feed['process'], replica_load.decode(feed['loads'])
         )
-        node.cache_news.apply_rows(feed['cache'], to_hubs=False)
+        node.cache_updates.apply_rows(feed['cache'], to_hubs=False)
         if age_s <= max(MAX_STORE_AGE_S, updates.store_health.age_s):
             self._apply_replicas(feed)
             updates.store_health.record_hub_answer(age_s)
@@ -198,20 +198,20 @@
 
 def load_message(
     node: nodes.Node,
-    work: dict[str, replica_load.Load],
+    loads: dict[str, replica_load.Load],
     sent_position: int,
     is_leaf: bool,
 ) -> messages.GatewayLoad:
     """Return a VM's load report, with cache changes since sent_position."""
     current = node.active_config.catalog
-    cache_changes = node.cache_news.hub_log.since(sent_position)
+    cache_changes = node.cache_updates.hub_log.since(sent_position)
     return {
         'version': link.PROTOCOL_VERSION,
         'type': 'load',
         'process': node.roster.process_name,
         'address': node.deployment.peer_address,
         'config_version': current.version if current else 0,
-        'loads': replica_load.encode(work),
+        'loads': replica_load.encode(loads),
         'leaf': is_leaf,
         'cache': [list(change) for _, change in cache_changes],
     }
--- a/gentianstair/gateway/leader_tasks.py
+++ b/gentianstair/gateway/leader_tasks.py
@@ -24,7 +24,7 @@
 SEAL_KIND = 'usage-seal'
 PURPOSE = 'usage'
 # Interval at which due windows and lease candidates are checked.
-POLL_S = 0.5
+POLL_INTERVAL_S = 0.5
 # Share of the time allowed for a report after which the counts are sealed. It
 # leaves time for processes that were cut off from the store to add their
 # counts, and for a new leader to report.
@@ -34,9 +34,9 @@
 # Time reserved for sealing and reporting.
 REPORT_RESERVE_S = 2.5
 # Windows whose seals are kept after they were reported.
-KEPT_SEALS = 8
+MAX_KEPT_SEALS = 8
 # Added to the lease duration for which a leader rests after its lease.
-REST_MARGIN_S = 0.5
+COOLDOWN_MARGIN_S = 0.5
 
 
 class ReportTiming(typing.NamedTuple):
@@ -57,14 +57,14 @@
         cloud: clouds.Cloud,
         counts: usage_counter.UsageCounter,
         timing: ReportTiming,
-        wall: typing.Callable[[], float],
+        wall_clock: typing.Callable[[], float],
     ) -> None:
         self._store = store
         self._members = members
         self._cloud = cloud
         self._counts = counts
         self._timing = timing
-        self._wall = wall
+        self._wall_clock = wall_clock
         # Windows before the start of this process are reported by others.
         self._next_window = counts.current_window()
 
@@ -82,7 +82,7 @@
                 loguru.logger.bind(
                     event=events.REPORT_FAILED, window=self._next_window
                 ).warning('a usage report failed: {}', error)
-            await trio.sleep(POLL_S)
+            await trio.sleep(POLL_INTERVAL_S)
 
     def _due_s(self, window: int) -> float:
         """Return when a window is sealed.
@@ -91,14 +91,14 @@
         frequent in a large fleet.
         """
         end_s = (window + 1) * self._timing.window_s
-        written_s = self._members.heartbeat_s + COUNTS_WRITTEN_S
+        written_s = self._members.heartbeat_interval_s + COUNTS_WRITTEN_S
         latest_s = self._timing.max_delay_s - REPORT_RESERVE_S
         return end_s + max(
             SEAL_SHARE * self._timing.max_delay_s, min(written_s, latest_s)
         )
 
     async def _report_due(self, authority: lease.Authority) -> None:
-        while self._wall() >= self._due_s(self._next_window):
+        while self._wall_clock() >= self._due_s(self._next_window):
             window = self._next_window
             counts = await self._seal(window)
             await self._cloud.report_usage(authority, window, counts)
@@ -108,7 +108,7 @@
                 epoch=authority.epoch,
             ).info('reported {} requests', sum(counts.values()))
             self._next_window = window + 1
-            await self._delete_seal(window - KEPT_SEALS)
+            await self._delete_seal(window - MAX_KEPT_SEALS)
             await self._members.delete_expired()
 
     async def _seal(self, window: int) -> dict[str, int]:
@@ -148,8 +148,8 @@
             )
 
 
-def lease_terms(lease_s: float) -> lease.LeaseTiming:
-    """Return the terms of the leader lease.
+def lease_timing(lease_s: float) -> lease.LeaseTiming:
+    """Return the timing of the leader lease.
 
     A leader acts for less than lease_s after its last renewal, and its
     successor waits for longer, so that two leaders never alternate within
@@ -158,11 +158,11 @@
     return lease.LeaseTiming(
         duration_s=lease_s,
         margin_s=0.1 * lease_s,
-        cooldown_s=lease_s + REST_MARGIN_S,
+        cooldown_s=lease_s + COOLDOWN_MARGIN_S,
     )
 
 
 def takeover_delay_s(lease_s: float) -> float:
     """Return how long a new process waits before it can take the lease."""
-    terms = lease_terms(lease_s)
-    return terms.cooldown_s + terms.duration_s + terms.margin_s
+    timing = lease_timing(lease_s)
+    return timing.cooldown_s + timing.duration_s + timing.margin_s
--- a/gentianstair/gateway/leaf_feed.py
+++ b/gentianstair/gateway/leaf_feed.py
@@ -20,7 +20,7 @@
         self._node = node
         self._store_health = store_health
         # The name of the leaf's process, empty until its first report.
-        self._process = ''
+        self._process_name = ''
         # Positions in the change logs up to which the leaf has been sent
         # the replicas (None: nothing yet) and the changes of caches.
         self._replicas_position: int | None = None
@@ -31,39 +31,43 @@
     ) -> messages.GatewayFeed:
         """Apply a leaf's report; return what changed since its last one."""
         node = self._node
-        self._process = report['process']
-        node.roster.leaves[self._process] = self
-        node.loads.update_peer(
-            self._process, replica_load.decode(report['loads']), from_leaf=True
+        self._process_name = report['process']
+        node.roster.leaves[self._process_name] = self
+        node.load_tracker.update_peer(
+            self._process_name,
+            replica_load.decode(report['loads']),
+            from_leaf=True,
         )
-        node.cache_news.apply_rows(report.get('cache', ()), to_hubs=True)
+        node.cache_updates.apply_rows(report.get('cache', ()), to_hubs=True)
         return self._make_feed(report['config_version'])
 
     def close(self) -> None:
         """Forget the leaf, unless it has a newer link to this hub."""
         leaves = self._node.roster.leaves
-        if leaves.get(self._process) is self:
-            del leaves[self._process]
-            self._node.loads.remove_peer(self._process)
+        if leaves.get(self._process_name) is self:
+            del leaves[self._process_name]
+            self._node.load_tracker.remove_peer(self._process_name)
 
     def _make_feed(self, known_version: int) -> messages.GatewayFeed:
         node = self._node
         replicas, gone, is_whole = self._new_replicas()
-        cache_changes = node.cache_news.leaf_log.since(self._cache_position)
-        self._cache_position = node.cache_news.leaf_log.position
+        cache_changes = node.cache_updates.leaf_log.since(self._cache_position)
+        self._cache_position = node.cache_updates.leaf_log.position
         feed: messages.GatewayFeed = {
             'version': link.PROTOCOL_VERSION,
             'type': 'feed',
             'process': node.roster.process_name,
             'age_ms': int(self._store_health.reported_age_s * 1000),
-            'loads': replica_load.encode(node.loads.excluding(self._process)),
+            'loads': replica_load.encode(
+                node.load_tracker.excluding(self._process_name)
+            ),
             'cache': [list(change) for _, change in cache_changes],
             'replicas': replicas,
             'gone': gone,
             'whole': is_whole,
             'vms': node.roster.vm_count(),
             'hubs': [encode_hub(hub) for hub in node.roster.hubs()],
-            'follow': node.roster.assigned_replicas(self._process),
+            'follow': node.roster.assigned_replicas(self._process_name),
         }
         current = node.active_config.catalog
         if current is not None and current.version > known_version:
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -78,10 +78,10 @@
 
     node: nodes.Node
     members: memberships.Members
-    leases: lease.LeaseManager
-    reporter: leader_tasks.UsageReporter
-    fleet: autoscaler.Autoscaler
-    touch: store_watch.StoreHealth
+    lease_manager: lease.LeaseManager
+    usage_reporter: leader_tasks.UsageReporter
+    autoscaler: autoscaler.Autoscaler
+    store_health: store_watch.StoreHealth
 
 
 def make_process_parts(
@@ -114,12 +114,12 @@
         costs,
     )
     node = _make_node(live, store, counts, members, costs, nursery)
-    leases = lease.make_lease_manager(
-        store, name, now, leader_tasks.lease_terms(bounds.lease_s)
+    lease_manager = lease.make_lease_manager(
+        store, name, now, leader_tasks.lease_timing(bounds.lease_s)
     )
     platform = cloud.Cloud(vm_settings.duties_address, vm_settings.vm)
-    touch = store_watch.StoreHealth(now)
-    reporter = leader_tasks.UsageReporter(
+    store_health = store_watch.StoreHealth(now)
+    usage_reporter = leader_tasks.UsageReporter(
         store,
         members,
         platform,
@@ -127,11 +127,13 @@
         leader_tasks.ReportTiming(bounds.usage_window_s, bounds.usage_late_s),
         wall_clock,
     )
-    fleet = autoscaler.Autoscaler(node, platform, touch)
-    return ProcessParts(node, members, leases, reporter, fleet, touch)
+    scaler = autoscaler.Autoscaler(node, platform, store_health)
+    return ProcessParts(
+        node, members, lease_manager, usage_reporter, scaler, store_health
+    )
 
 
-def _retry_terms(live: deployment.LiveSettings) -> retry_budget.Limits:
+def _retry_limits(live: deployment.LiveSettings) -> retry_budget.Limits:
     bounds = live.current.bounds
     return retry_budget.Limits(
         bounds.retry_ratio,
@@ -150,8 +152,8 @@
 ) -> nodes.Node:
     now = clock.boottime_s
     vm_settings = live.current
-    node_loads = replica_load.LoadTracker(now)
-    cache = prefix_index.PrefixIndex()
+    load_tracker = replica_load.LoadTracker(now)
+    index = prefix_index.PrefixIndex()
     registry = replicas.Registry(now)
     own_vm = hubs.Vm(
         vm_settings.vm,
@@ -166,20 +168,20 @@
         started_s=now(),
         active_config=nodes.ActiveConfig(),
         registry=registry,
-        loads=node_loads,
-        cache=cache,
-        cache_news=cache_updates.CacheUpdates(cache),
+        load_tracker=load_tracker,
+        prefix_index=index,
+        cache_updates=cache_updates.CacheUpdates(index),
         roster=roster,
-        read_costs=costs,
+        prefill_costs=costs,
         placement=placement.Placement(
             vm_settings.failure_domain,
-            node_loads,
-            cache,
+            load_tracker,
+            index,
             costs,
             random.Random(vm_settings.vm),
         ),
-        repeats=retry_budget.RetryBudget(
-            functools.partial(_retry_terms, live),
+        retry_budget=retry_budget.RetryBudget(
+            functools.partial(_retry_limits, live),
             now,
             roster.vm_count,
             restarted=not vm_settings.whole_system_starts,
@@ -187,9 +189,9 @@
         ejector=ejection.Ejector(),
         transport=transport.make_transport(idle_s=REPLICA_IDLE_TIMEOUT_S),
         store=store,
-        usage=counts,
+        usage_counter=counts,
         draining=trio.Event(),
-        grace=grace_period.GracePeriod(),
+        grace_period=grace_period.GracePeriod(),
         nursery=nursery,
     )
 
@@ -229,24 +231,28 @@
 ) -> list[collections.abc.Callable[[], collections.abc.Awaitable[None]]]:
     """Return the background tasks that every process runs."""
     node = process.node
-    knowledge = peer_updates.PeerUpdates(
+    updates = peer_updates.PeerUpdates(
         configuration.decode,
         functools.partial(_apply_catalog, node),
-        process.touch,
+        process.store_health,
     )
-    turn = store_watch.ReadPolicy(
+    policy = store_watch.ReadPolicy(
         node.roster.has_hub_feed, node.roster.vm_count
     )
-    follow = [
+    watches = [
         functools.partial(
-            store_watch.follow, node.store, source, process.touch, turn
+            store_watch.follow,
+            node.store,
+            source,
+            process.store_health,
+            policy,
         )
         for source in _watch_sources(process)
     ]
     return [
-        *follow,
+        *watches,
         functools.partial(process.members.run, node.roster.has_hub_feed),
-        functools.partial(peer_links.run, node, knowledge),
+        functools.partial(peer_links.run, node, updates),
         functools.partial(cache_watch.run, node),
     ]
 
@@ -275,7 +281,7 @@
     process: ProcessParts, authority: lease.Authority
 ) -> None:
     async with trio.open_nursery() as nursery:
-        for duty in (process.reporter.run, process.fleet.run):
+        for duty in (process.usage_reporter.run, process.autoscaler.run):
             nursery.start_soon(
                 restart_on_fault, functools.partial(duty, authority)
             )
@@ -288,7 +294,7 @@
         # An earlier process on this VM may just have held the lease; the pause
         # lets other VMs take it, as between two terms of one holder.
         await trio.sleep(
-            leader_tasks.lease_terms(vm_settings.bounds.lease_s).cooldown_s
+            leader_tasks.lease_timing(vm_settings.bounds.lease_s).cooldown_s
         )
     scopes = {leader_tasks.SCOPE: functools.partial(_run_duties, process)}
     roster = process.node.roster
@@ -298,13 +304,15 @@
         return scopes if roster.is_hub() else {}
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(process.leases.run, offered_scopes)
+        nursery.start_soon(process.lease_manager.run, offered_scopes)
         while True:
-            process.leases.candidates = process.members.lease_candidates(
-                leader_tasks.takeover_delay_s(vm_settings.bounds.lease_s),
-                {hub.name for hub in roster.hubs()},
+            process.lease_manager.candidates = (
+                process.members.lease_candidates(
+                    leader_tasks.takeover_delay_s(vm_settings.bounds.lease_s),
+                    {hub.name for hub in roster.hubs()},
+                )
             )
-            await trio.sleep(leader_tasks.POLL_S)
+            await trio.sleep(leader_tasks.POLL_INTERVAL_S)
 
 
 def request_grace_s(grace_s: float) -> float:
@@ -334,7 +342,9 @@
     await stop_requested.wait()
     loguru.logger.bind(event=events.STOPPING).info('stopping')
     node.draining.set()
-    node.grace.expire_in(request_grace_s(node.deployment.bounds.grace_s))
+    node.grace_period.expire_in(
+        request_grace_s(node.deployment.bounds.grace_s)
+    )
     await trio.sleep(BALANCER_DRAIN_S)
 
 
--- a/gentianstair/gateway/members.py
+++ b/gentianstair/gateway/members.py
@@ -23,7 +23,7 @@
 PURPOSE = 'members'
 # Shortest interval between heartbeats. Usage counted after the last one is
 # lost if the process is killed.
-HEARTBEAT_S = 1.0
+MIN_HEARTBEAT_INTERVAL_S = 1.0
 # Heartbeats of the whole fleet a second. Each call to the store is charged;
 # in a large fleet each VM counts a small part of the usage.
 MAX_HEARTBEATS_PER_S = 15.0
@@ -115,14 +115,14 @@
         return self._name
 
     @property
-    def heartbeat_s(self) -> float:
+    def heartbeat_interval_s(self) -> float:
         """Return the heartbeat interval, which grows with the fleet."""
         count = len(self._members)
         max_per_s = min(
             MAX_HEARTBEATS_PER_S,
             MAX_HEARTBEAT_WRITE_SHARE * self._writes_per_s,
         )
-        return max(HEARTBEAT_S, count / max_per_s)
+        return max(MIN_HEARTBEAT_INTERVAL_S, count / max_per_s)
 
     def alive(self) -> list[Member]:
         """Return the processes that were alive at the last listing.
@@ -131,7 +131,9 @@
         refuses sees no heartbeats. It would otherwise take itself for the
         only process and use the fleet's whole retry budget.
         """
-        oldest_s = self._listed_at_s - MISSED_HEARTBEATS * self.heartbeat_s
+        oldest_s = (
+            self._listed_at_s - MISSED_HEARTBEATS * self.heartbeat_interval_s
+        )
         return [
             m for m in self._members.values() if m.changed_at_s >= oldest_s
         ]
@@ -156,7 +158,9 @@
         """
         alive = [m for m in self.alive() if vms is None or m.record.vm in vms]
         mature = [
-            m for m in alive if m.record.beat * self.heartbeat_s >= min_age_s
+            m
+            for m in alive
+            if m.record.beat * self.heartbeat_interval_s >= min_age_s
         ]
         names = sorted(member.name for member in mature or alive)
         return tuple(names) or (self._name,)
@@ -173,13 +177,18 @@
         last_heartbeat_s = -math.inf
         while True:
             started_s = self._clock()
-            if started_s - last_heartbeat_s > self.heartbeat_s - MIN_PAUSE_S:
+            if (
+                started_s - last_heartbeat_s
+                > self.heartbeat_interval_s - MIN_PAUSE_S
+            ):
                 last_heartbeat_s = started_s
                 await self.write_heartbeat()
             if not has_hub_feed():
                 await self._refresh()
             elapsed_s = self._clock() - started_s
-            pause_s = min(self.heartbeat_s, MAX_LIST_PAUSE_S) - elapsed_s
+            pause_s = (
+                min(self.heartbeat_interval_s, MAX_LIST_PAUSE_S) - elapsed_s
+            )
             await trio.sleep(max(MIN_PAUSE_S, pause_s))
 
     async def write_heartbeat(self) -> bool:
--- a/gentianstair/gateway/node.py
+++ b/gentianstair/gateway/node.py
@@ -47,20 +47,20 @@
     started_s: float
     active_config: ActiveConfig
     registry: replicas.Registry
-    loads: replica_load.LoadTracker
-    cache: prefix_index.PrefixIndex
-    cache_news: cache_updates.CacheUpdates
+    load_tracker: replica_load.LoadTracker
+    prefix_index: prefix_index.PrefixIndex
+    cache_updates: cache_updates.CacheUpdates
     roster: roster.Roster
-    read_costs: prefill_costs.PrefillCosts
+    prefill_costs: prefill_costs.PrefillCosts
     placement: placement.Placement
-    repeats: retry_budget.RetryBudget
+    retry_budget: retry_budget.RetryBudget
     ejector: ejection.Ejector
     transport: transports.Transport
     store: stores.Store
-    usage: usage_counter.UsageCounter
+    usage_counter: usage_counter.UsageCounter
     # Set at a planned stop; responses then close their connections.
     draining: trio.Event
-    grace: grace_period.GracePeriod
+    grace_period: grace_period.GracePeriod
     # Runs tasks that outlive a request, such as freeing a KV cache.
     nursery: trio.Nursery
 
--- a/gentianstair/gateway/peer_links.py
+++ b/gentianstair/gateway/peer_links.py
@@ -62,12 +62,12 @@
         self._network = network
         self._updates = updates
         self._rng = rng
-        self._open: dict[str, link.Channel] = {}
+        self._open_channels: dict[str, link.Channel] = {}
         # Peer addresses from the seeds and from peers, for use when the
         # store does not list the VMs.
         self._known_addresses: set[str] = set(node.deployment.peer_seeds)
         # The highest configuration version that a peer has reported.
-        self._newest_version = 0
+        self._newest_config_version = 0
 
     async def run(self) -> None:
         """Keep a link to each peer until cancelled."""
@@ -117,7 +117,7 @@
                 )
 
     async def _use_link(self, address: str, channel: link.Channel) -> None:
-        self._open[address] = channel
+        self._open_channels[address] = channel
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._send_loads, channel)
@@ -129,24 +129,24 @@
         except* link.LinkClosedError as group:
             raise link.LinkClosedError(str(group.exceptions[0]))
         finally:
-            if self._open.get(address) is channel:
-                del self._open[address]
+            if self._open_channels.get(address) is channel:
+                del self._open_channels[address]
 
     async def _send_loads(self, channel: link.Channel) -> None:
         node = self._node
         sent_position = 0
         while True:
-            cache_log = node.cache_news.hub_log
+            cache_log = node.cache_updates.hub_log
             message = hub_client.load_message(
-                node, node.loads.subtree(), sent_position, is_leaf=False
+                node, node.load_tracker.subtree(), sent_position, is_leaf=False
             )
             sent_position = cache_log.position
             await _send(channel, message)
-            slowdown = len(self._open) / FULL_RATE_PEERS
+            slowdown = len(self._open_channels) / FULL_RATE_PEERS
             pause_s = LOAD_INTERVAL_S * max(1.0, slowdown)
             await trio.sleep(pause_s * MIN_PAUSE_SHARE)
             with trio.move_on_after(pause_s * (1 - MIN_PAUSE_SHARE)):
-                await node.loads.wait_long_prefill()
+                await node.load_tracker.wait_long_prefill()
 
     async def _accept(self, channel: link.Channel) -> None:
         """Serve a link that a peer opened, a hub or a leaf."""
@@ -193,24 +193,24 @@
         elif message['type'] == 'load':
             self._handle_load(typing.cast(messages.GatewayLoad, message))
         elif message['type'] == 'ask_news':
-            await _send(channel, self._make_news(message['config_version']))
+            await _send(channel, self._make_reply(message['config_version']))
         elif message['type'] == 'news':
-            self._handle_news(typing.cast(messages.GatewayNews, message))
+            self._handle_reply(typing.cast(messages.GatewayNews, message))
 
     def _handle_load(self, message: messages.GatewayLoad) -> None:
         peer_loads = replica_load.decode(message['loads'])
-        self._node.loads.update_peer(message['process'], peer_loads)
-        self._node.cache_news.apply_rows(
+        self._node.load_tracker.update_peer(message['process'], peer_loads)
+        self._node.cache_updates.apply_rows(
             message.get('cache', ()), to_hubs=False
         )
         self._known_addresses.add(message['address'])
-        self._newest_version = max(
-            self._newest_version, message['config_version']
+        self._newest_config_version = max(
+            self._newest_config_version, message['config_version']
         )
 
-    def _make_news(self, known_version: int) -> messages.GatewayNews:
+    def _make_reply(self, known_version: int) -> messages.GatewayNews:
         node = self._node
-        news: messages.GatewayNews = {
+        reply: messages.GatewayNews = {
             'version': link.PROTOCOL_VERSION,
             'type': 'news',
             'age_ms': int(self._updates.store_health.age_s * 1000),
@@ -219,14 +219,14 @@
         }
         current = node.active_config.catalog
         if current is not None and current.version > known_version:
-            news['config'] = current.raw
-        return news
+            reply['config'] = current.raw
+        return reply
 
-    def _handle_news(self, news: messages.GatewayNews) -> None:
-        self._known_addresses.update(news['addresses'])
-        if 'config' in news:
-            self._updates.apply_config(news['config'])
-        age_s = news['age_ms'] / 1000
+    def _handle_reply(self, reply: messages.GatewayNews) -> None:
+        self._known_addresses.update(reply['addresses'])
+        if 'config' in reply:
+            self._updates.apply_config(reply['config'])
+        age_s = reply['age_ms'] / 1000
         self._updates.store_health.record_peer_answer(age_s)
         if (
             not self._store_is_down()
@@ -234,7 +234,7 @@
         ):
             return
         try:
-            known = msgspec.convert(news['replicas'], list[replicas.Replica])
+            known = msgspec.convert(reply['replicas'], list[replicas.Replica])
         except msgspec.ValidationError as error:
             loguru.logger.bind(event=events.PEER_UNREADABLE).warning(
                 '{}', error
@@ -244,7 +244,9 @@
 
     def _config_is_behind(self) -> bool:
         current = self._node.active_config.catalog
-        return (current.version if current else 0) < self._newest_version
+        return (
+            current.version if current else 0
+        ) < self._newest_config_version
 
     async def _query_peers(self) -> None:
         """Query a peer while the store is down or a peer has newer config.
@@ -254,11 +256,11 @@
         """
         while True:
             await trio.sleep(QUERY_INTERVAL_S)
-            if not self._open or not (
+            if not self._open_channels or not (
                 self._store_is_down() or self._config_is_behind()
             ):
                 continue
-            address = self._rng.choice(sorted(self._open))
+            address = self._rng.choice(sorted(self._open_channels))
             current = self._node.active_config.catalog
             query: messages.GatewayAsk = {
                 'version': link.PROTOCOL_VERSION,
@@ -266,7 +268,7 @@
                 'config_version': current.version if current else 0,
             }
             try:
-                await _send(self._open[address], query)
+                await _send(self._open_channels[address], query)
             except link.LinkClosedError as error:
                 loguru.logger.bind(event=events.LINK_LOST, peer=address).debug(
                     '{}', error
--- a/gentianstair/gateway/placement.py
+++ b/gentianstair/gateway/placement.py
@@ -118,7 +118,7 @@
         self._costs = costs
         self._random = rng
 
-    def choose_plain(
+    def choose_unary(
         self, candidates: list[replicas.Replica]
     ) -> replicas.Replica | None:
         """Return the least loaded replica of a plain service."""
--- a/gentianstair/gateway/remote_prefill.py
+++ b/gentianstair/gateway/remote_prefill.py
@@ -56,51 +56,53 @@
         costs a retry. So while this VM spends retries, one must be left.
         Every further prefill is a retry.
         """
-        budget, service = self._node.repeats, self._request.service
+        budget, service = self._node.retry_budget, self._request.service
         if self._attempts:
             return budget.try_spend(service)
         return not budget.spent(service) or budget.remaining(service) >= 1
 
-    async def prefill(self, plan: placement.Plan, urgency: int) -> None:
+    async def prefill(self, plan: placement.Plan, priority: int) -> None:
         """Run the prefill of a plan; raise UpstreamError."""
         replica = plan.prefill_replica
         assert replica is not None
         request, node = self._request, self._node
         started_s = node.clock()
-        active_request = node.loads.begin(
+        active_request = node.load_tracker.begin(
             replica.name,
             plan.work_s,
             started_s + plan.prefill_end_s,
             plan.miss_penalty_s,
         )
-        expected = node.cache.expect(
+        expected = node.prefix_index.expect(
             replica.name, self._prompt, self._engine.kv_tokens
         )
-        sending = request.make_attempt(
+        attempt = request.make_attempt(
             replica,
             prefill_only=True,
             kv_copy_address=plan.copy.address,
-            priority=urgency,
+            priority=priority,
         )
-        answer = None
+        response = None
         try:
-            answer = await forward.fetch_response(node, request.call, sending)
+            response = await forward.fetch_response(
+                node, request.call, attempt
+            )
             source = wire.decode_handle(
-                replica.address, answer.status, answer.body
+                replica.address, response.status, response.body
             )
         except errors.UpstreamError as error:
-            node.cache.retract(replica.name, expected)
-            failure = _failure(error, answer)
-            self._failed(replica, failure, started_s)
-            raise failure from error
+            node.prefix_index.retract(replica.name, expected)
+            prefill_error = _prefill_error(error, response)
+            self._record_failure(replica, prefill_error, started_s)
+            raise prefill_error from error
         finally:
-            node.loads.end(active_request)
+            node.load_tracker.end(active_request)
         self._attempts += 1
         self._held = _HeldKv(source, replica.name)
         took_s = node.clock() - started_s
         run_record.record_prefill(request, self._prompt, replica, plan, took_s)
 
-    def _failed(
+    def _record_failure(
         self,
         replica: replicas.Replica,
         error: errors.UpstreamError,
@@ -114,17 +116,17 @@
         if not isinstance(error, errors.UnreachableError):
             request.failed_prefills += 1
             if not self._attempts:
-                request.node.repeats.spend(request.service)
+                request.node.retry_budget.spend(request.service)
             self._attempts += 1
         request.tried_replicas.add(replica.name)
         request.attempts += 1
         request.record_failure(replica, error, started_s, reads=True)
 
-    def taken(self) -> None:
+    def record_fetched(self) -> None:
         """Record that a decode replica took the KV cache."""
         self._held = None
 
-    def not_taken(self, error: errors.UpstreamError) -> None:
+    def handle_decode_failure(self, error: errors.UpstreamError) -> None:
         """Keep the KV cache for the next decode replica, or free it.
 
         A decode replica that could not be reached, or that has restarted
@@ -154,12 +156,12 @@
         self._held = None
 
 
-def _failure(
-    error: errors.UpstreamError, answer: forward.ReplicaResponse | None
+def _prefill_error(
+    error: errors.UpstreamError, response: forward.ReplicaResponse | None
 ) -> errors.UpstreamError:
     """Return the error of a request whose prefill failed."""
     if isinstance(error, errors.UnreachableError):
         return error
-    if answer is not None and answer.verdict is verdicts.Verdict.NOT_RUN:
-        return errors.TurnedAwayError(str(error), answer.status)
+    if response is not None and response.verdict is verdicts.Verdict.NOT_RUN:
+        return errors.TurnedAwayError(str(error), response.status)
     return errors.UpstreamError(str(error), verdicts.Verdict.NOT_RUN)
--- a/gentianstair/gateway/request_state.py
+++ b/gentianstair/gateway/request_state.py
@@ -22,7 +22,7 @@
 MAX_UNREACHABLE_ATTEMPTS = 4
 # Least Retry-After when no replica could take a request. By then some
 # running requests have ended and the list of replicas is up to date.
-RETRY_AFTER_S = 0.4
+MIN_RETRY_AFTER_S = 0.4
 # How long a replica may have been draining before this VM learns of it, plus
 # the time to copy KV cache from it.
 DRAIN_NOTICE_DELAY_S = 0.8
@@ -77,7 +77,7 @@
     def remaining_s(self) -> float:
         """Return the time to the deadline or the end of the grace period."""
         left_s = max(0.0, self.deadline_s - self.node.clock())
-        return min(left_s, self.node.grace.remaining_s())
+        return min(left_s, self.node.grace_period.remaining_s())
 
     def priority(self) -> int:
         """Return the customer's priority, or else the route's."""
@@ -232,7 +232,7 @@
         """
         if self.attempts == self.failed_prefills:
             return True
-        return self.node.repeats.try_spend(self.service)
+        return self.node.retry_budget.try_spend(self.service)
 
     def log(self, event: str, message: str, **fields: typing.Any) -> None:
         """Log an event of this request."""
@@ -255,7 +255,7 @@
             'no-time',
             'the queue is longer than the time to the deadline',
             self.verdict,
-            max(RETRY_AFTER_S, queued_s),
+            max(MIN_RETRY_AFTER_S, queued_s),
         )
 
     def final_error(self) -> errors.RequestError:
@@ -266,7 +266,7 @@
                 'no-replica',
                 'no replica could take the request',
                 self.verdict,
-                RETRY_AFTER_S,
+                MIN_RETRY_AFTER_S,
             )
         if self.remaining_s() < MIN_REMAINING_S:
             return errors.RequestError(
--- a/gentianstair/gateway/roster.py
+++ b/gentianstair/gateway/roster.py
@@ -16,7 +16,7 @@
 # A leaf without a feed for this long reads the store itself. Together with
 # the call to the store it must take less than the two seconds within which a
 # draining replica may still get new work.
-FEED_TIMEOUT_S = 1.2
+MAX_FEED_AGE_S = 1.2
 # How long a selection of hubs is reused.
 HUB_SELECTION_S = 0.3
 # How long an assignment of replicas to VMs is reused.
@@ -40,12 +40,12 @@
 
     def __init__(
         self,
-        own: hubs.Vm,
+        own_vm: hubs.Vm,
         members: memberships.Members,
         registry: replicas.Registry,
         clock: clocks.Clock,
     ) -> None:
-        self.own = own
+        self.own_vm = own_vm
         self._members = members
         self._registry = registry
         self._clock = clock
@@ -81,7 +81,7 @@
     def _current_feed(self) -> HubFeed | None:
         """Return the hub's last feed, or None if it is too old."""
         feed = self._hub_feed
-        if feed is None or self._clock() - feed.received_s > FEED_TIMEOUT_S:
+        if feed is None or self._clock() - feed.received_s > MAX_FEED_AGE_S:
             return None
         return feed
 
@@ -96,7 +96,7 @@
             )
             for member in self._members.alive()
         }
-        by_name[self.own.name] = self.own
+        by_name[self.own_vm.name] = self.own_vm
         return list(by_name.values())
 
     def vm_count(self) -> int:
@@ -117,7 +117,7 @@
 
     def is_hub(self) -> bool:
         """Return whether this VM is one of the hubs."""
-        return any(hub.name == self.own.name for hub in self.hubs())
+        return any(hub.name == self.own_vm.name for hub in self.hubs())
 
     def is_mesh(self) -> bool:
         """Return whether all VMs are hubs, so that there are no leaves."""
@@ -125,7 +125,7 @@
             return False
         return len(self.hubs()) == len(self.vms())
 
-    def reads_cache_list(self, replica: str) -> bool:
+    def lists_cache(self, replica: str) -> bool:
         """Return whether this VM lists a replica's cache for all others.
 
         In a mesh a few hubs do; in a larger fleet any VM that follows it.
@@ -133,7 +133,7 @@
         if not self.is_mesh():
             return True
         hub_names = [hub.name for hub in self.hubs()]
-        return self.own.name in hubs.top_ranked(hub_names, replica)
+        return self.own_vm.name in hubs.top_ranked(hub_names, replica)
 
     def shares_cache_updates(self) -> bool:
         """Return whether VMs forward changes of replicas' caches.
@@ -168,7 +168,7 @@
         process_names = sorted(self.leaves) or [self._members.name]
         assigned: dict[str, list[str]] = {}
         for name in replica_names:
-            if self.own.name in hubs.top_ranked(hub_names, name):
+            if self.own_vm.name in hubs.top_ranked(hub_names, name):
                 (process_name,) = hubs.top_ranked(process_names, name, 1)
                 assigned.setdefault(process_name, []).append(name)
         return assigned
--- a/gentianstair/gateway/run_record.py
+++ b/gentianstair/gateway/run_record.py
@@ -29,8 +29,8 @@
         expected_s=round(plan.prefill_end_s, 3),
         took_s=round(took_s, 3),
     )
-    node.cache.confirm(replica.name, prompt)
-    node.read_costs.record(
+    node.prefix_index.confirm(replica.name, prompt)
+    node.prefill_costs.record(
         replica.service,
         replica.stage,
         plan.uncached_tokens,
@@ -57,10 +57,10 @@
         node = request.node
         self._started_s = node.clock()
         work_s = plan.work_s if plan else 0.0
-        more_s = plan.miss_penalty_s if plan else 0.0
-        ends_s = self._started_s + (plan.prefill_end_s if plan else 0.0)
-        self._load = node.loads.begin(
-            decode_replica.name, work_s, ends_s, more_s
+        miss_penalty_s = plan.miss_penalty_s if plan else 0.0
+        prefill_end_s = self._started_s + (plan.prefill_end_s if plan else 0.0)
+        self._load = node.load_tracker.begin(
+            decode_replica.name, work_s, prefill_end_s, miss_penalty_s
         )
         self.first_event_s: float | None = None
 
@@ -70,7 +70,7 @@
             return False
         node = self._request.node
         self.first_event_s = node.clock()
-        node.usage.count_start(self._request.customer_name)
+        node.usage_counter.count_start(self._request.customer_name)
         self._load.prefill_done()
         took_s = self.first_event_s - self._started_s
         if self._plan is None:
@@ -92,10 +92,10 @@
             replica=self._decode_replica.name,
             took_s=round(took_s, 3),
         )
-        self._request.node.cache.confirm(
+        self._request.node.prefix_index.confirm(
             self._decode_replica.name, self._prompt
         )
 
     def finish(self) -> None:
         """Remove the run from the load of its replica."""
-        self._request.node.loads.end(self._load)
+        self._request.node.load_tracker.end(self._load)
--- a/gentianstair/gateway/streaming.py
+++ b/gentianstair/gateway/streaming.py
@@ -51,8 +51,8 @@
         self._node = request.node
         self._engine = engine or DEFAULT_ENGINE
         self._prompt = request.call.prompt or calls.Prompt('', 0, 0, ())
-        self._events = event_stream.EventBuffer()
-        self._prompt_read = remote_prefill.RemotePrefill(
+        self._event_buffer = event_stream.EventBuffer()
+        self._remote_prefill = remote_prefill.RemotePrefill(
             request, self._prompt, self._engine
         )
         # A replica's response that is no stream and goes to the caller as is.
@@ -79,9 +79,9 @@
                 except errors.UpstreamError as error:
                     if not request.may_retry(error.verdict):
                         break
-                self._events.discard_partial()
+                self._event_buffer.discard_partial()
         finally:
-            self._prompt_read.free()
+            self._remote_prefill.free()
         if (
             request.failure_response is not None
             and not request.exchange.started
@@ -130,13 +130,13 @@
     async def _run_plan(self, plan: placement.Plan) -> None:
         if (
             plan.prefill_replica is not None
-            and self._prompt_read.source is None
+            and self._remote_prefill.source is None
         ):
-            if self._prompt_read.may_prefill():
-                await self._prompt_read.prefill(plan, self._priority())
+            if self._remote_prefill.may_prefill():
+                await self._remote_prefill.prefill(plan, self._priority())
             else:
                 plan = self._without_prefill_replica(plan)
-        kv_source = self._prompt_read.source
+        kv_source = self._remote_prefill.source
         if kv_source is None:
             await self._run_at_replica(plan.decode_replica, None, plan)
             return
@@ -144,9 +144,9 @@
             await self._run_at_replica(
                 self._choose_decode_replica(), kv_source, None
             )
-            self._prompt_read.taken()
+            self._remote_prefill.record_fetched()
         except errors.UpstreamError as error:
-            self._prompt_read.not_taken(error)
+            self._remote_prefill.handle_decode_failure(error)
             raise
 
     def _without_prefill_replica(self, plan: placement.Plan) -> placement.Plan:
@@ -180,7 +180,7 @@
         return decode_replica
 
     def _priority(self) -> int:
-        if self._events.event_count:
+        if self._event_buffer.event_count:
             return 0
         return min(LOWEST_PRIORITY, PRIORITY_OFFSET + self._request.priority())
 
@@ -199,7 +199,7 @@
         copy = plan.copy if plan else placement.NO_KV_COPY
         started_s = request.begin_attempt(decode_replica)
         if self._prompt.parts:
-            node.cache.expect(
+            node.prefix_index.expect(
                 decode_replica.name, self._prompt, self._engine.kv_tokens
             )
         attempt = request.make_attempt(
@@ -222,7 +222,7 @@
                 decode_replica,
                 error,
                 started_s,
-                events=self._events.event_count,
+                events=self._event_buffer.event_count,
             )
             raise
         finally:
@@ -230,7 +230,7 @@
         request.record_success(decode_replica, run.first_event_s or started_s)
 
     def _resume_event_id(self) -> str | None:
-        return self._events.last_id or self._request.call.last_event_id
+        return self._event_buffer.last_id or self._request.call.last_event_id
 
     async def _forward_events(
         self, response: httpx.Response, run: run_record.ReplicaRun
@@ -256,7 +256,7 @@
                 )
             if not data:
                 break
-            complete_events = self._events.feed(data)
+            complete_events = self._event_buffer.feed(data)
             if not complete_events:
                 continue
             if run.record_event():
@@ -265,8 +265,8 @@
             request.record_event_sent()
             await request.exchange.write(complete_events)
         if (
-            not self._events.at_event_boundary()
-            or not self._events.event_count
+            not self._event_buffer.at_event_boundary()
+            or not self._event_buffer.event_count
         ):
             raise errors.UpstreamError(
                 'the stream ended before an event was complete',
--- a/gentianstair/gateway/unary.py
+++ b/gentianstair/gateway/unary.py
@@ -18,7 +18,7 @@
 ) -> forward.ReplicaResponse:
     """Return a replica's response; raise RequestError if there is none."""
     while True:
-        replica = request.node.placement.choose_plain(request.candidates())
+        replica = request.node.placement.choose_unary(request.candidates())
         if replica is None or not request.spend_retry():
             break
         started_s = request.begin_attempt(replica)
@@ -51,17 +51,17 @@
 ) -> forward.ReplicaResponse:
     """Return the response of one replica; raise UpstreamError on failure."""
     node = request.node
-    load = node.loads.begin(replica.name)
+    load = node.load_tracker.begin(replica.name)
     try:
         with trio.move_on_after(_attempt_timeout_s(request)):
             response = await forward.fetch_response(
                 node, request.call, request.make_attempt(replica)
             )
             if response.verdict is verdicts.Verdict.RAN:
-                node.usage.count_start(request.customer_name)
+                node.usage_counter.count_start(request.customer_name)
             return _check_response(request, response)
     finally:
-        node.loads.end(load)
+        node.load_tracker.end(load)
     raise errors.UpstreamError(
         'no answer in time', verdicts.Verdict.MAY_HAVE_RUN
     )
--- a/gentianstair/gateway/usage_counter.py
+++ b/gentianstair/gateway/usage_counter.py
@@ -14,9 +14,9 @@
     """Counts of this process; window k begins k * window_s after 1970."""
 
     def __init__(
-        self, wall: typing.Callable[[], float], window_s: float
+        self, wall_clock: typing.Callable[[], float], window_s: float
     ) -> None:
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._window_s = window_s
         self._windows: dict[int, collections.Counter[str]] = {}
         # The number of requests counted so far.
@@ -24,7 +24,7 @@
 
     def current_window(self) -> int:
         """Return the number of the current window."""
-        return int(self._wall() // self._window_s)
+        return int(self._wall_clock() // self._window_s)
 
     def count_start(self, customer: str | None) -> None:
         """Count a request that has started; None is not billed."""
--- a/test/control/test_planning.py
+++ b/test/control/test_role_duty.py
@@ -1,4 +1,4 @@
-"""Test that the planning duty derives demand and orders role changes."""
+"""Test that the role duty derives demand and orders role changes."""
 
 import types
 
@@ -7,7 +7,7 @@
 
 from gentianstair.config import view as views
 from gentianstair.control import lease
-from gentianstair.control import planning
+from gentianstair.control import role_duty
 from gentianstair.entry import usage
 from gentianstair.store import store as stores
 from standins import memory_store
@@ -62,7 +62,7 @@
         store, 'vm', trio.current_time, usage.Terms(60.0, 1.0, 10**9)
     )
     authority = lease.Authority('engines-north', 'me', 1, context.clock)
-    duty = planning.RoleDuty()
+    duty = role_duty.RoleDuty()
     for _ in range(40):
         counts.count(
             'c',
@@ -73,6 +73,6 @@
         )
         await counts.flush()
         await duty.run_once(context, authority)
-        await trio.sleep(planning.PLAN_INTERVAL_S)
+        await trio.sleep(role_duty.PLAN_INTERVAL_S)
     assert orders.sent
     assert orders.sent[0][1:] == ('set_role', 'prefill')
--- a/test/gateway/test_hub_client.py
+++ b/test/gateway/test_hub_client.py
@@ -24,7 +24,7 @@
             hubs.Vm(f'hub-{n}', 'a', f'10.0.0.{n}:1', 2.0)
             for n in range(count)
         ]
-        self.own = hubs.Vm('leaf', 'a', '10.0.0.99:1', 2.0)
+        self.own_vm = hubs.Vm('leaf', 'a', '10.0.0.99:1', 2.0)
         self.opened = []
 
     def is_hub(self):
--- a/test/gateway/test_leader_tasks.py
+++ b/test/gateway/test_leader_tasks.py
@@ -14,7 +14,7 @@
 from standins.platform import objects
 
 WINDOW_S = 5.0
-TERMS = leader_tasks.ReportTiming(WINDOW_S, 10.0)
+TIMING = leader_tasks.ReportTiming(WINDOW_S, 10.0)
 
 
 class Cloud:
@@ -35,9 +35,9 @@
 class Process:
     """The counting and reporting of one gateway process."""
 
-    def __init__(self, table, cloud, name, wall):
+    def __init__(self, table, cloud, name, wall_clock):
         self.store = memory_store.MemoryStore(table)
-        self.counts = usage_counter.UsageCounter(wall, WINDOW_S)
+        self.counts = usage_counter.UsageCounter(wall_clock, WINDOW_S)
         record = memberships.Record(name, 'a', '', 0, {})
         self.members = memberships.Members(
             self.store, name, record, self.counts, clock.trio_time_s, 400
@@ -47,8 +47,8 @@
             self.members,
             cloud,
             self.counts,
-            TERMS,
-            wall,
+            TIMING,
+            wall_clock,
         )
         self.authority = lease.Authority('duties', name, 1, clock.trio_time_s)
         self.authority.valid_until_s = 1e9
@@ -60,10 +60,12 @@
     cloud = Cloud()
     started_s = trio.current_time()
 
-    def wall():
+    def wall_clock():
         return trio.current_time() - started_s
 
-    one, two = (Process(table, cloud, name, wall) for name in ('p1', 'p2'))
+    one, two = (
+        Process(table, cloud, name, wall_clock) for name in ('p1', 'p2')
+    )
     return cloud, one, two
 
 
--- a/test/gateway/test_leaf_feed.py
+++ b/test/gateway/test_leaf_feed.py
@@ -33,8 +33,8 @@
     roster.assigned_replicas = lambda process: []
     return types.SimpleNamespace(
         roster=roster,
-        loads=replica_load.LoadTracker(clock),
-        cache_news=cache_updates.CacheUpdates(prefix_index.PrefixIndex()),
+        load_tracker=replica_load.LoadTracker(clock),
+        cache_updates=cache_updates.CacheUpdates(prefix_index.PrefixIndex()),
         registry=registry,
         active_config=types.SimpleNamespace(catalog=None),
     )
@@ -48,8 +48,8 @@
     first.handle_report(REPORT)
     second.handle_report(REPORT)
     first.close()
-    assert node.loads.load_of('i-1').running == 3
+    assert node.load_tracker.load_of('i-1').running == 3
     assert LEAF in node.roster.leaves
     second.close()
-    assert node.loads.load_of('i-1').running == 0
+    assert node.load_tracker.load_of('i-1').running == 0
     assert LEAF not in node.roster.leaves
--- a/test/gateway/test_placement.py
+++ b/test/gateway/test_placement.py
@@ -129,7 +129,7 @@
     for name, count in (('near', near), ('far', far)):
         for _ in range(count):
             scheduler.load.begin(name)
-    assert scheduler.placement.choose_plain(candidates).name == chosen
+    assert scheduler.placement.choose_unary(candidates).name == chosen
 
 
 @pytest.mark.parametrize(
--- a/test/gateway/test_usage_report_protocol.py
+++ b/test/gateway/test_usage_report_protocol.py
@@ -72,11 +72,11 @@
 class Vm:
     """A VM whose process is killed and restarted."""
 
-    def __init__(self, world, number, terms, has_deadman, chances):
+    def __init__(self, world, number, timing, has_deadman, chances):
         self.world = world
         self.chances = chances
         self.name = f'vm-{number}'
-        self.terms = terms
+        self.timing = timing
         self.has_deadman = has_deadman
 
     async def run(self):
@@ -98,7 +98,7 @@
             store, name, record, counts, process.clock, 400
         )
         leases = lease.make_lease_manager(
-            store, name, process.clock, self.terms
+            store, name, process.clock, self.timing
         )
         cloud = Cloud(process, self.name, self.has_deadman)
         reporter = leader_tasks.UsageReporter(
@@ -114,7 +114,7 @@
             nursery.start_soon(self.count, counts)
             nursery.start_soon(self.update_candidates, members, leases)
             if not is_first_run:
-                await trio.sleep(self.terms.cooldown_s)
+                await trio.sleep(self.timing.cooldown_s)
             nursery.start_soon(
                 leases.run, lambda: {leader_tasks.SCOPE: reporter.run}
             )
@@ -133,14 +133,14 @@
             await trio.sleep(0.5)
 
 
-async def explore(seed, terms=None, has_deadman=True, chances=CHANCES):
+async def explore(seed, timing=None, has_deadman=True, chances=CHANCES):
     """Return the reports of one run, in the order of their arrival."""
-    terms = terms or leader_tasks.lease_terms(LEASE_S)
+    timing = timing or leader_tasks.lease_timing(LEASE_S)
     async with trio.open_nursery() as nursery:
         world = chaos.World(seed, nursery)
         for number in range(PROCESSES):
             nursery.start_soon(
-                Vm(world, number, terms, has_deadman, chances).run
+                Vm(world, number, timing, has_deadman, chances).run
             )
         await trio.sleep(RUN_S)
         nursery.cancel_scope.cancel()
