--- a/gentianstair/entry/admission.py
+++ b/gentianstair/entry/admission.py
@@ -11,7 +11,7 @@
 from gentianstair import errors
 from gentianstair.entry import admission_types
 from gentianstair.entry import fairness
-from gentianstair.entry import pool as pools
+from gentianstair.entry import model_queue
 from gentianstair.entry import work as works
 from gentianstair.generated import messages
 from gentianstair.util import clock as clocks
@@ -78,7 +78,7 @@
         self._weight_of = weight_of
         self._clock = clock
         self._record = record
-        self._pools: dict[str, pools.Pool] = {}
+        self._pools: dict[str, model_queue.ModelQueue] = {}
         # Numbers waiters and sent rows.
         self._sequence = itertools.count()
         self._incarnation = uuid.uuid4().hex[:12]
@@ -110,10 +110,12 @@
         for pool in self._pools.values():
             self._update_shares(pool)
 
-    def _pool(self, model: str) -> pools.Pool:
+    def _pool(self, model: str) -> model_queue.ModelQueue:
         if model not in self._pools:
             now_s = self._clock()
-            self._pools[model] = pools.Pool(model, self._weight_of, now_s)
+            self._pools[model] = model_queue.ModelQueue(
+                model, self._weight_of, now_s
+            )
         return self._pools[model]
 
     @contextlib.asynccontextmanager
@@ -141,7 +143,7 @@
             with trio.move_on_after(max(0.0, left_s)):
                 await waiter.granted.wait()
             if not waiter.running:
-                decision = waiter.refusal or pool.give_up(
+                decision = waiter.refusal or pool.refuse_late_waiter(
                     waiter, self._clock()
                 )
                 self._record(decision)
@@ -151,7 +153,7 @@
         finally:
             # Cancellation by a caller that hung up also frees the slot or
             # the place in the queue.
-            pool.leave(waiter, ticket.usage, started_s, self._clock())
+            pool.release(waiter, ticket.usage, started_s, self._clock())
 
     def waiting_count(self, model: str) -> int:
         """Return how many requests of a model are queued here."""
@@ -180,7 +182,7 @@
             self._sent_rows.clear()
         rows = []
         for pool in self._pools.values():
-            for row in pool.rows(now_s):
+            for row in pool.summary_rows(now_s):
                 key = (row['model'], row['customer'])
                 if fairness.has_changed(row, self._sent_rows.get(key)):
                     rows.append(row)
@@ -216,22 +218,22 @@
             self._peer_incarnation[vm] = summary['incarnation']
         self._heard_at_s[vm] = self._clock()
         for row in summary['rows']:
-            self._pool(row['model']).merge(vm, row)
+            self._pool(row['model']).merge_row(vm, row)
 
     def _drop_peer(self, vm: str) -> None:
         self._peer_incarnation.pop(vm, None)
         for pool in self._pools.values():
-            pool.forget(vm)
+            pool.remove_peer(vm)
 
-    def _update_shares(self, pool: pools.Pool) -> None:
+    def _update_shares(self, pool: model_queue.ModelQueue) -> None:
         now_s = self._clock()
         for vm, heard_at_s in list(self._heard_at_s.items()):
             if vm not in self._live_vms or now_s - heard_at_s > PEER_TIMEOUT_S:
                 del self._heard_at_s[vm]
                 self._drop_peer(vm)
         heard = {self._vm, *self._heard_at_s} & self._live_vms
-        pool.resplit(self._vm, heard, len(self._live_vms), now_s)
-        pool.drop_late(now_s)
+        pool.update_share(self._vm, heard, len(self._live_vms), now_s)
+        pool.refuse_late_waiters(now_s)
 
 
 def _refusal(decision: admission_types.Decision) -> errors.RequestError:
--- a/gentianstair/entry/claims.py
+++ b/gentianstair/entry/claims.py
@@ -48,14 +48,14 @@
     'gentianstair_claim_writes', 'Conditional updates of claim shards'
 )
 CONFLICTS = prometheus_client.Counter(
-    'gentianstair_claim_conflicts', 'Updates that conflicted with another VM'
+    'gentianstair_claim_conflicts', 'Updates lost to another VM'
 )
 FORWARD_FAILURES = prometheus_client.Counter(
     'gentianstair_claim_forward_failures',
-    'Batches that the owner of their shard did not apply',
+    'Batches that the owner of their shard did not take',
 )
 RESULTS = prometheus_client.Counter(
-    'gentianstair_claims', 'Claims by their result', ['state']
+    'gentianstair_claims', 'Claims by what they came to', ['state']
 )
 WAIT_S = prometheus_client.Histogram(
     'gentianstair_claim_wait_seconds', 'Wait for a claim to be committed'
--- a/gentianstair/entry/sharing.py
+++ b/gentianstair/entry/sharing.py
@@ -22,7 +22,7 @@
 
 DROPPED_SUMMARIES = prometheus_client.Counter(
     'gentianstair_summaries_dropped',
-    'Summaries that do not match their schema',
+    'Summaries that no schema matches',
 )
 
 Summary = dict[str, typing.Any]
