--- a/test/entry/test_bad_input.py
+++ b/test/entry/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Send the caller API what no honest caller sends, and check all is well."""
+"""Test the caller API with invalid and malicious requests."""
 
 import contextlib
 import json
@@ -25,13 +25,13 @@
 from gentianstair.util import serving
 
 KEY = 'gst_ours0123456789'
-CHAT = '/v1/chat/completions'
-MAX_BODY = 2048
+CHAT_PATH = '/v1/chat/completions'
+MAX_BODY_BYTES = 2048
 SETTINGS = {
     'vm_name': 'vm-1',
     'failure_domain': 'north',
     'platform_url': 'http://127.0.0.1:9',
-    'max_body_bytes': str(MAX_BODY),
+    'max_body_bytes': str(MAX_BODY_BYTES),
     'body_timeout_s': '0.3',
     'caller_stall_s': '0.3',
     'listen': '127.0.0.1:0',
@@ -43,26 +43,31 @@
     'concurrent': 1000,
     'enabled': True,
 }
-ASK = {'model': 'judge', 'messages': [{'role': 'user', 'content': 'hello'}]}
-ANSWER = json.dumps(
+COMPLETION = {
+    'model': 'judge',
+    'messages': [{'role': 'user', 'content': 'hello'}],
+}
+RESPONSE_BODY = json.dumps(
     {'usage': {'prompt_tokens': 1, 'completion_tokens': 1}}
 ).encode()
 
 
 class Upstream:
-    """Answer every request and keep its bytes as they came.
+    """An upstream that responds to all requests and records their bytes.
 
-    While ``held`` it sends a head and one part of a stream, then nothing.
+    While ``stalled`` it sends the headers and one event of a stream, and then
+    nothing; while ``flooding`` it sends events without end. ``disconnected``
+    is set once the connection of such a request was closed.
     """
 
     def __init__(self):
         self.requests = []
-        self.held = False
+        self.stalled = False
         self.flooding = False
-        self.cut = trio.Event()
+        self.disconnected = trio.Event()
 
     async def serve(self, stream):
-        """Serve one connection, a request at a time."""
+        """Serve the requests of one connection in turn."""
         with contextlib.suppress(trio.BrokenResourceError):
             while head := await self._read(stream):
                 self.requests.append(head)
@@ -78,7 +83,7 @@
         return data
 
     async def _answer(self, stream, head):
-        if self.held or self.flooding:
+        if self.stalled or self.flooding:
             lines = b'content-type: text/event-stream\r\n\r\n'
             await stream.send_all(b'HTTP/1.1 200 OK\r\n' + lines)
             part = b'data: {"choices": [{"text": "x"}]}\n\n'
@@ -88,23 +93,23 @@
                     await stream.send_all(part * 1000)
                 await stream.receive_some(1)
             finally:
-                self.cut.set()
+                self.disconnected.set()
             return
-        length = b'content-length: %d\r\n\r\n' % len(ANSWER)
-        body = b'' if head.startswith(b'HEAD') else ANSWER
+        length = b'content-length: %d\r\n\r\n' % len(RESPONSE_BODY)
+        body = b'' if head.startswith(b'HEAD') else RESPONSE_BODY
         await stream.send_all(b'HTTP/1.1 200 OK\r\n' + length + body)
 
 
-class Fresh:
-    """Be always fresh."""
+class AlwaysFresh:
+    """Report the configuration as always fresh."""
 
     def is_fresh(self):
         """Return True."""
         return True
 
 
-def objects(url):
-    """Return a configuration with two customers, a model of each."""
+def make_objects(url):
+    """Return configuration objects: two customers, each with a model."""
     entry = {'adapter': None, 'share_prefixes': False}
     models = {
         'judge': {**entry, 'engine_model': 'base', 'customers': ['ours']},
@@ -150,7 +155,7 @@
 
 
 class Entry:
-    """An entry in this process, served on a real socket."""
+    """An entry that runs in this process and listens on a socket."""
 
     def __init__(self, node, port, upstream):
         self.node = node
@@ -158,11 +163,11 @@
         self.upstream = upstream
 
     async def connect(self):
-        """Return a connection to it."""
+        """Return a new connection to the entry."""
         return await trio.open_tcp_stream('127.0.0.1', self.port)
 
     async def send(self, data, end=False):
-        """Send bytes and return all that comes back until it closes."""
+        """Send bytes and return everything received until the close."""
         stream = await self.connect()
         async with stream:
             with contextlib.suppress(trio.BrokenResourceError):
@@ -171,8 +176,8 @@
                     await stream.send_eof()
             return await read_end(stream)
 
-    async def ask(self, body, *headers, path=CHAT, method='POST'):
-        """Send one request and return status and body of the answer."""
+    async def ask(self, body, *headers, path=CHAT_PATH, method='POST'):
+        """Send one request; return status and body of the response."""
         if not isinstance(body, bytes):
             body = json.dumps(body).encode()
         lines = [f'{method} {path} HTTP/1.1'.encode(), b'host: x']
@@ -183,22 +188,22 @@
             lines.append(b'content-length: %d' % len(body))
         lines += [*headers, b'connection: close']
         head = b'\r\n'.join(lines) + b'\r\n\r\n'
-        return split(await self.send(head + body))
+        return parse_response(await self.send(head + body))
 
     def idle(self):
-        """Say whether nothing is held by any request."""
+        """Return whether no request is queued or running."""
         queue = self.node.queue
         return queue.waiting_count('base') + queue.running_count('base') == 0
 
     async def wait_idle(self):
-        """Return once nothing is held; fail if it is not let go."""
+        """Wait until no request is queued or running; fail after a timeout."""
         with trio.fail_after(3):
             while not self.idle():
                 await trio.sleep(0.01)
 
 
 async def read_end(stream):
-    """Return everything until the other side closes."""
+    """Return everything received until the peer closes."""
     data = b''
     with trio.fail_after(5):
         with contextlib.suppress(trio.BrokenResourceError):
@@ -207,14 +212,14 @@
     return data
 
 
-def split(answer):
-    """Return status and body of one answer."""
+def parse_response(answer):
+    """Return status and body of a raw HTTP response."""
     head, _, body = answer.partition(b'\r\n\r\n')
     return int(head.split()[1]), body
 
 
 def check_refusal(answer, status, kind=None):
-    """Check that an answer is a problem that says not run."""
+    """Check that a response is a problem with the verdict NOT_RUN."""
     assert answer[0] == status, answer
     problem = json.loads(answer[1])
     assert problem['verdict'] == 'NOT_RUN'
@@ -225,16 +230,16 @@
 
 @contextlib.asynccontextmanager
 async def open_entry():
-    """Yield an entry with one engine and one service behind it."""
+    """Yield an entry with one engine and one service as upstreams."""
     values = settings.collect(generated.ENTRY, SETTINGS, {})
     node, _ = main.make_node(generated.EntrySettings(**values))
-    node = node._replace(freshness=Fresh())
+    node = node._replace(freshness=AlwaysFresh())
     upstream = Upstream()
     async with trio.open_nursery() as nursery:
         listeners = await trio.open_tcp_listeners(0, host='127.0.0.1')
         port = listeners[0].socket.getsockname()[1]
         nursery.start_soon(trio.serve_listeners, upstream.serve, listeners)
-        node.view.apply(objects(f'http://127.0.0.1:{port}'))
+        node.view.apply(make_objects(f'http://127.0.0.1:{port}'))
         upstream_monitor.apply_upstreams(node)
         sock = serving.listen('127.0.0.1:0')
         port = sock.getsockname()[1]
@@ -245,35 +250,40 @@
         nursery.cancel_scope.cancel()
 
 
-AUTH = b'authorization: '
-JUNK = b'Bearer gst_wrong0123456789'
+AUTH_HEADER = b'authorization: '
+UNKNOWN_BEARER = b'Bearer gst_wrong0123456789'
 
 
 @pytest.mark.promise
 @pytest.mark.parametrize(
     ('body', 'headers', 'status', 'kind'),
     [
-        (ASK, [AUTH + JUNK], 401, 'bad-key'),
-        (ASK, [AUTH], 401, 'bad-key'),
-        (ASK, [AUTH + b'Bearer'], 401, 'bad-key'),
-        (ASK, [AUTH + b'Basic ' + KEY.encode()], 401, 'bad-key'),
-        (ASK, [AUTH + b'Bearer gst_gone'], 401, 'bad-key'),
-        (ASK, [AUTH + b'Bearer gst_off'], 401, 'bad-key'),
-        (ASK, [AUTH + b'Bearer \xff\xfe'], 401, 'bad-key'),
-        (ASK, [AUTH + JUNK, AUTH + b'Bearer x'], 400, 'duplicate-header'),
-        ({**ASK, 'model': 'theirs'}, [], 404, 'no-such-model'),
-        ({**ASK, 'model': 'nobody'}, [], 404, 'no-such-model'),
-        ({**ASK, 'model': 'base'}, [], 404, 'no-such-model'),
-        ({**ASK, 'model': '\ud800'}, [], 400, 'bad-request'),
-        ({**ASK, 'model': None}, [], 400, 'bad-request'),
-        ({**ASK, 'messages': []}, [], 400, 'bad-request'),
-        ({**ASK, 'messages': 'x'}, [], 400, 'bad-request'),
-        ({**ASK, 'messages': [1]}, [], 400, 'bad-request'),
-        ({**ASK, 'max_tokens': 0}, [], 400, 'bad-request'),
-        ({**ASK, 'max_tokens': True}, [], 400, 'bad-request'),
-        ({**ASK, 'stream': 'yes'}, [], 400, 'bad-request'),
-        ({**ASK, 'stream_options': 1}, [], 400, 'bad-request'),
-        ({**ASK, 'priority': 99}, [], 400, 'bad-request'),
+        (COMPLETION, [AUTH_HEADER + UNKNOWN_BEARER], 401, 'bad-key'),
+        (COMPLETION, [AUTH_HEADER], 401, 'bad-key'),
+        (COMPLETION, [AUTH_HEADER + b'Bearer'], 401, 'bad-key'),
+        (COMPLETION, [AUTH_HEADER + b'Basic ' + KEY.encode()], 401, 'bad-key'),
+        (COMPLETION, [AUTH_HEADER + b'Bearer gst_gone'], 401, 'bad-key'),
+        (COMPLETION, [AUTH_HEADER + b'Bearer gst_off'], 401, 'bad-key'),
+        (COMPLETION, [AUTH_HEADER + b'Bearer \xff\xfe'], 401, 'bad-key'),
+        (
+            COMPLETION,
+            [AUTH_HEADER + UNKNOWN_BEARER, AUTH_HEADER + b'Bearer x'],
+            400,
+            'duplicate-header',
+        ),
+        ({**COMPLETION, 'model': 'theirs'}, [], 404, 'no-such-model'),
+        ({**COMPLETION, 'model': 'nobody'}, [], 404, 'no-such-model'),
+        ({**COMPLETION, 'model': 'base'}, [], 404, 'no-such-model'),
+        ({**COMPLETION, 'model': '\ud800'}, [], 400, 'bad-request'),
+        ({**COMPLETION, 'model': None}, [], 400, 'bad-request'),
+        ({**COMPLETION, 'messages': []}, [], 400, 'bad-request'),
+        ({**COMPLETION, 'messages': 'x'}, [], 400, 'bad-request'),
+        ({**COMPLETION, 'messages': [1]}, [], 400, 'bad-request'),
+        ({**COMPLETION, 'max_tokens': 0}, [], 400, 'bad-request'),
+        ({**COMPLETION, 'max_tokens': True}, [], 400, 'bad-request'),
+        ({**COMPLETION, 'stream': 'yes'}, [], 400, 'bad-request'),
+        ({**COMPLETION, 'stream_options': 1}, [], 400, 'bad-request'),
+        ({**COMPLETION, 'priority': 99}, [], 400, 'bad-request'),
         (b'', [], 400, 'bad-request'),
         (b'{', [], 400, 'bad-request'),
         (b'[]', [], 400, 'bad-request'),
@@ -281,13 +291,33 @@
         (b'[' * 2000, [], 400, 'bad-request'),
         (b'{"x": %s}' % (b'9' * 1900), [], 400, 'bad-request'),
         (b'{"a": ' * 40 + b'1' + b'}' * 40, [], 400, 'bad-request'),
-        (b' ' * (MAX_BODY + 1), [], 413, 'body-too-long'),
-        (ASK, [b'x-request-timeout-s: 0'], 400, 'impossible-deadline'),
-        (ASK, [b'x-request-timeout-s: -1'], 400, 'impossible-deadline'),
-        (ASK, [b'x-request-timeout-s: nan'], 400, 'impossible-deadline'),
-        (ASK, [b'x-request-timeout-s: inf'], 400, 'impossible-deadline'),
-        (ASK, [b'x-request-timeout-s: soon'], 400, 'impossible-deadline'),
-        (ASK, [b'x-request-timeout-s: 9999'], 400, 'impossible-deadline'),
+        (b' ' * (MAX_BODY_BYTES + 1), [], 413, 'body-too-long'),
+        (COMPLETION, [b'x-request-timeout-s: 0'], 400, 'impossible-deadline'),
+        (COMPLETION, [b'x-request-timeout-s: -1'], 400, 'impossible-deadline'),
+        (
+            COMPLETION,
+            [b'x-request-timeout-s: nan'],
+            400,
+            'impossible-deadline',
+        ),
+        (
+            COMPLETION,
+            [b'x-request-timeout-s: inf'],
+            400,
+            'impossible-deadline',
+        ),
+        (
+            COMPLETION,
+            [b'x-request-timeout-s: soon'],
+            400,
+            'impossible-deadline',
+        ),
+        (
+            COMPLETION,
+            [b'x-request-timeout-s: 9999'],
+            400,
+            'impossible-deadline',
+        ),
     ],
 )
 async def test_bad_requests_are_refused_and_do_not_run(
@@ -297,20 +327,20 @@
         check_refusal(await entry.ask(body, *headers), status, kind)
         assert entry.upstream.requests == []
         assert entry.idle()
-        assert (await entry.ask(ASK))[0] == 200
+        assert (await entry.ask(COMPLETION))[0] == 200
 
 
-async def test_a_request_without_any_key_is_refused():
+async def test_request_without_a_key_is_refused():
     async with open_entry() as entry:
-        head = f'POST {CHAT} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n'
+        head = f'POST {CHAT_PATH} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n'
         answer = await entry.send(head.encode() + b'\r\n')
-        check_refusal(split(answer), 401, 'bad-key')
+        check_refusal(parse_response(answer), 401, 'bad-key')
         assert b'www-authenticate: Bearer' in answer
 
 
-async def test_an_unknown_field_goes_through_and_the_key_does_not():
+async def test_unknown_fields_are_forwarded_and_the_key_is_not():
     async with open_entry() as entry:
-        body = {**ASK, 'logit_bias': {'7': -1}, 'x_new': [None, 1.5]}
+        body = {**COMPLETION, 'logit_bias': {'7': -1}, 'x_new': [None, 1.5]}
         assert (await entry.ask(body, b'x-api-key: ' + KEY.encode()))[0] == 200
         (seen,) = entry.upstream.requests
         sent = json.loads(seen.partition(b'\r\n\r\n')[2])
@@ -319,24 +349,24 @@
         assert KEY.encode() not in seen
 
 
-SURROGATE = '\ud800 x' * 70
+UNPAIRED_SURROGATES = '\ud800 x' * 70
 
 
 @pytest.mark.parametrize(
     ('body', 'status'),
     [
-        ({**ASK, 'messages': [{'content': SURROGATE}]}, 400),
-        ({**ASK, 'messages': [{'content': '\0 \x1b[2J\r'}]}, 200),
-        ({**ASK, 'messages': [{'content': None}]}, 200),
+        ({**COMPLETION, 'messages': [{'content': UNPAIRED_SURROGATES}]}, 400),
+        ({**COMPLETION, 'messages': [{'content': '\0 \x1b[2J\r'}]}, 200),
+        ({**COMPLETION, 'messages': [{'content': None}]}, 200),
         (b'{"model": "judge", "messages": [{}], "t": NaN}', 400),
         (b'{"model": "theirs", "model": "judge", "messages": [{}]}', 200),
     ],
 )
-async def test_what_reaches_the_engine_is_strict_json(body, status):
-    """A strange character in a prompt ends in an internal error.
+async def test_only_strict_json_reaches_the_engine(body, status):
+    """Guard against internal errors by characters that UTF-8 can't encode.
 
-    Half a surrogate pair can be escaped in JSON, but is no text and has no
-    bytes; NaN is taken by lenient readers and refused by strict engines.
+    JSON can escape an unpaired surrogate; lenient parsers accept NaN, which
+    strict engines refuse.
     """
     async with open_entry() as entry:
         answer = await entry.ask(body)
@@ -352,21 +382,21 @@
 @pytest.mark.parametrize(
     'data',
     [
-        # An answer that only comes once the whole body was read is late.
+        # The response must not wait for the rest of the body.
         b'content-length: 99999999\r\n\r\n',
         b'transfer-encoding: chunked\r\n\r\n'
         + b'400\r\n%s\r\n' % (b'x' * 1024) * 3,
     ],
 )
-async def test_an_over_long_body_is_refused_before_it_is_read(data):
+async def test_too_long_body_is_refused_before_it_is_read(data):
     async with open_entry() as entry:
-        head = f'POST {CHAT} HTTP/1.1\r\nhost: x\r\n'.encode()
-        head += AUTH + b'Bearer ' + KEY.encode() + b'\r\n'
+        head = f'POST {CHAT_PATH} HTTP/1.1\r\nhost: x\r\n'.encode()
+        head += AUTH_HEADER + b'Bearer ' + KEY.encode() + b'\r\n'
         stream = await entry.connect()
         async with stream:
             await stream.send_all(head + data)
             answer = await read_end(stream)
-        check_refusal(split(answer), 413, 'body-too-long')
+        check_refusal(parse_response(answer), 413, 'body-too-long')
 
 
 @pytest.mark.promise
@@ -381,25 +411,24 @@
         ('/services/', 404),
     ],
 )
-async def test_a_caller_reaches_only_services_and_their_own_paths(
+async def test_callers_cannot_reach_engines_or_other_paths_as_services(
     path, status
 ):
-    """A caller runs another customer's model, or reads an upstream's load.
+    """Guard against access to engines and internal paths of upstreams.
 
-    Services are chosen by name like models, so the name of an engine's
-    model reaches the engine past the check of customers; dots in a path
-    leave the part of the upstream that is meant for callers.
+    A model's name used as a service's would bypass the customer check; dot
+    segments would leave the path that is meant for callers.
     """
     async with open_entry() as entry:
         check_refusal(await entry.ask(b'', path=path, method='GET'), status)
         assert entry.upstream.requests == []
 
 
-async def test_headers_of_one_hop_and_of_identity_stay_here():
-    """A service takes a caller for another customer.
+async def test_hop_by_hop_and_identity_headers_are_not_forwarded():
+    """Guard against a caller that impersonates another customer.
 
-    The caller sends the header by which we tell the service whose request
-    it is, or names headers of ours in Connection.
+    The caller sends the header that identifies the customer to services, or
+    names such a header in Connection.
     """
     async with open_entry() as entry:
         answer = await entry.ask(
@@ -429,7 +458,7 @@
 
 
 @pytest.mark.parametrize(
-    'smuggle',
+    'framing',
     [
         b'content-length: 4\r\ntransfer-encoding: chunked\r\n',
         b'transfer-encoding: chunked\r\ncontent-length: 4\r\n',
@@ -449,17 +478,16 @@
         b'x: \x1b[2J\x07\r\n',
     ],
 )
-async def test_no_shape_of_one_request_becomes_two(smuggle):
-    """A caller's request carries a second one inside it.
+async def test_ambiguous_framing_cannot_smuggle_a_request(framing):
+    """Guard against request smuggling.
 
-    We and the upstream disagree where the first ends, and the second runs
-    as somebody else's. At most one request may leave, whole and framed by
-    us, and a second answer is never given.
+    If entry and upstream disagree where a request ends, a hidden second one
+    runs as another caller's.
     """
     hidden = b'POST /services/stock/evil HTTP/1.1\r\nhost: x\r\n\r\n'
     async with open_entry() as entry:
         head = b'POST /services/stock/one HTTP/1.1\r\nhost: x\r\n'
-        head += AUTH + b'Bearer ' + KEY.encode() + b'\r\n' + smuggle
+        head += AUTH_HEADER + b'Bearer ' + KEY.encode() + b'\r\n' + framing
         body = b'0\r\n\r\n' + hidden
         answer = await entry.send(head + b'\r\n' + body, end=True)
         seen = entry.upstream.requests
@@ -482,13 +510,13 @@
 )
 async def test_huge_headers_are_refused(head):
     async with open_entry() as entry:
-        answer = await entry.ask(ASK, head)
+        answer = await entry.ask(COMPLETION, head)
         assert answer[0] in (400, 431)
         assert entry.upstream.requests == []
 
 
 @pytest.mark.parametrize('method', ['TRACE', 'CONNECT', 'PROPFIND', 'X' * 200])
-async def test_odd_methods_do_not_reach_a_service(method):
+async def test_unsupported_methods_do_not_reach_a_service(method):
     async with open_entry() as entry:
         path = '/services/stock/a'
         status, _ = await entry.ask(b'', path=path, method=method)
@@ -496,10 +524,10 @@
         assert entry.upstream.requests == []
 
 
-async def test_an_answer_to_head_has_no_body_and_is_not_waited_for():
-    """A look-up by HEAD hangs until its deadline.
+async def test_response_to_head_does_not_wait_for_a_body():
+    """Guard against waiting for a body after a HEAD request.
 
-    The service's answer names the length of a body that it does not send.
+    The response declares a content length but has no body.
     """
     async with open_entry() as entry:
         with trio.fail_after(2):
@@ -508,7 +536,7 @@
         assert (status, body) == (200, b'')
 
 
-async def test_a_store_that_is_down_refuses_unrepeatable_calls():
+async def test_unrepeatable_calls_are_refused_while_the_store_is_down():
     async with open_entry() as entry:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(entry.node.claims.run_batches)
@@ -521,26 +549,26 @@
 
 
 @pytest.mark.parametrize('sent', [b'', b'{"model"'])
-async def test_a_caller_that_falls_silent_holds_nothing(sent):
+async def test_stalled_request_body_holds_no_capacity(sent):
     async with open_entry() as entry:
         body = b'content-length: 40\r\n\r\n' + sent
-        head = f'POST {CHAT} HTTP/1.1\r\nhost: x\r\n'.encode()
-        head += AUTH + b'Bearer ' + KEY.encode() + b'\r\n'
+        head = f'POST {CHAT_PATH} HTTP/1.1\r\nhost: x\r\n'.encode()
+        head += AUTH_HEADER + b'Bearer ' + KEY.encode() + b'\r\n'
         stream = await entry.connect()
         async with stream:
             await stream.send_all(head + body)
             await trio.sleep(0.1)
             assert entry.idle()
-            check_refusal(split(await read_end(stream)), 408)
+            check_refusal(parse_response(await read_end(stream)), 408)
 
 
-@pytest.mark.parametrize('stream', [True, False])
-async def test_a_caller_that_hangs_up_cancels_the_engine(stream):
+@pytest.mark.parametrize('stream', [True, False], ids=['streamed', 'buffered'])
+async def test_caller_disconnect_cancels_the_engine_request(stream):
     async with open_entry() as entry:
-        entry.upstream.held = True
-        body = json.dumps({**ASK, 'stream': stream}).encode()
-        head = f'POST {CHAT} HTTP/1.1\r\nhost: x\r\n'.encode()
-        head += AUTH + b'Bearer ' + KEY.encode() + b'\r\n'
+        entry.upstream.stalled = True
+        body = json.dumps({**COMPLETION, 'stream': stream}).encode()
+        head = f'POST {CHAT_PATH} HTTP/1.1\r\nhost: x\r\n'.encode()
+        head += AUTH_HEADER + b'Bearer ' + KEY.encode() + b'\r\n'
         head += b'content-length: %d\r\n\r\n' % len(body)
         caller = await entry.connect()
         await caller.send_all(head + body)
@@ -549,43 +577,43 @@
                 await trio.sleep(0.01)
             assert not entry.idle()
             await trio.aclose_forcefully(caller)
-            await entry.upstream.cut.wait()
+            await entry.upstream.disconnected.wait()
         await entry.wait_idle()
 
 
-async def test_a_caller_that_stops_reading_frees_its_engine():
-    """A few callers that read nothing hold all engines.
+async def test_caller_that_stops_reading_does_not_hold_its_engine():
+    """Guard against callers that hold engines by not reading.
 
-    Their streams fill every buffer on the way and then stand still.
+    Their streams fill all buffers and then stall.
     """
     async with open_entry() as entry:
         entry.upstream.flooding = True
-        body = json.dumps({**ASK, 'stream': True}).encode()
-        head = f'POST {CHAT} HTTP/1.1\r\nhost: x\r\n'.encode()
-        head += AUTH + b'Bearer ' + KEY.encode() + b'\r\n'
+        body = json.dumps({**COMPLETION, 'stream': True}).encode()
+        head = f'POST {CHAT_PATH} HTTP/1.1\r\nhost: x\r\n'.encode()
+        head += AUTH_HEADER + b'Bearer ' + KEY.encode() + b'\r\n'
         head += b'content-length: %d\r\n\r\n' % len(body)
         caller = await entry.connect()
         async with caller:
             await caller.send_all(head + body)
             with trio.fail_after(5):
-                await entry.upstream.cut.wait()
+                await entry.upstream.disconnected.wait()
             await entry.wait_idle()
 
 
-async def test_a_websocket_is_refused():
+async def test_websocket_upgrades_are_refused():
     async with open_entry() as entry:
-        for path in ('/services/stock/a', CHAT, '/'):
+        for path in ('/services/stock/a', CHAT_PATH, '/'):
             lines = [f'GET {path} HTTP/1.1', 'host: x', 'upgrade: websocket']
             lines += ['connection: upgrade', 'sec-websocket-version: 13']
             lines += ['sec-websocket-key: MDEyMzQ1Njc4OTAxMjM0NQ==']
             lines += [f'authorization: Bearer {KEY}', '', '']
             answer = await entry.send('\r\n'.join(lines).encode())
-            assert 400 <= split(answer)[0] < 500
+            assert 400 <= parse_response(answer)[0] < 500
         assert entry.upstream.requests == []
 
 
 async def ask_http2(entry, headers):
-    """Send one request by HTTP/2 and return the status, None if cut."""
+    """Send one HTTP/2 request; return its status, None without response."""
     config = h2.config.H2Configuration(
         validate_outbound_headers=False, normalize_outbound_headers=False
     )
@@ -621,11 +649,13 @@
         ({'transfer-encoding': 'chunked'}, {None, 200, 400}),
     ],
 )
-async def test_http2_cannot_carry_what_http1_could_not(changes, statuses):
-    """A service takes a caller for another customer.
+async def test_http2_header_injection_does_not_reach_services(
+    changes, statuses
+):
+    """Guard against headers injected through HTTP/2.
 
-    HTTP/2 has no line ends, so names and values may hold them, and they
-    come out as lines of their own where the request is sent on by HTTP/1.
+    Names and values in HTTP/2 may contain line ends, which would become
+    separate headers when the request is forwarded by HTTP/1.1.
     """
     headers = {
         ':method': 'GET',
@@ -643,7 +673,7 @@
             assert lines[0].count(b' ') == 2
             assert b'x-customer: other' not in lines
             assert b'transfer-encoding: chunked' not in lines
-        assert (await entry.ask(ASK))[0] == 200
+        assert (await entry.ask(COMPLETION))[0] == 200
 
 
 JSON_VALUE = strategies.recursive(
@@ -672,7 +702,7 @@
 )
 BODY = strategies.dictionaries(
     strategies.sampled_from(FIELDS), JSON_VALUE
-).map(lambda body: json.dumps({**ASK, 'prompt': 'x', **body}).encode())
+).map(lambda body: json.dumps({**COMPLETION, 'prompt': 'x', **body}).encode())
 
 
 @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
@@ -680,7 +710,7 @@
     path=strategies.sampled_from(completions.PATHS),
     data=BODY | strategies.binary(max_size=64),
 )
-def test_any_body_is_read_or_refused_with_a_reason(path, data):
+def test_arbitrary_bodies_are_parsed_or_refused_with_400(path, data):
     try:
         found = completions.parse(path, data)
     except errors.RequestError as error:
@@ -708,7 +738,9 @@
         max_size=4,
     ),
 )
-def test_any_service_path_is_carried_or_refused(path, query, headers):
+def test_arbitrary_service_paths_are_sanitized_or_refused(
+    path, query, headers
+):
     scope = {
         'path': services.PATH_PREFIX + path,
         'method': 'POST',
--- a/test/entry/test_cut_connections.py
+++ b/test/entry/test_cut_connections.py
@@ -1,4 +1,4 @@
-"""Test that the entry says who closed the connection of a cut request."""
+"""Test which side an entry records as closing a connection."""
 
 import time
 import types
@@ -14,26 +14,48 @@
 End = connections.End
 
 
-async def gone(_):
+async def raise_disconnected(_):
     raise exchanges.CallerDisconnectedError('the caller hung up')
 
 
-async def cancelled(_):
+async def wait_for_cancel(_):
     await trio.sleep_forever()
 
 
 @pytest.mark.parametrize(
-    ('route', 'end', 'steps', 'status'),
+    ('handle', 'end', 'steps', 'status'),
     [
-        (gone, End.CALLER_RESET, [('caller-gone', 'the caller hung up')], 499),
-        (gone, None, [('caller-gone', 'the caller hung up')], 499),
-        (gone, End.KEEP_ALIVE_OVER, [('closed-here', 'keep-alive-over')], 444),
-        (gone, End.SEND_STALL, [('closed-here', 'send-stall')], 444),
-        (cancelled, None, [], 444),
+        (
+            raise_disconnected,
+            End.CALLER_RESET,
+            [('caller-gone', 'the caller hung up')],
+            499,
+        ),
+        (
+            raise_disconnected,
+            None,
+            [('caller-gone', 'the caller hung up')],
+            499,
+        ),
+        (
+            raise_disconnected,
+            End.KEEP_ALIVE_OVER,
+            [('closed-here', 'keep-alive-over')],
+            444,
+        ),
+        (
+            raise_disconnected,
+            End.SEND_STALL,
+            [('closed-here', 'send-stall')],
+            444,
+        ),
+        (wait_for_cancel, None, [], 444),
     ],
 )
-async def test_who_closed_is_explained(route, end, steps, status, monkeypatch):
-    # Guards against a close of our own that is told as a caller's going.
+async def test_server_close_is_not_recorded_as_caller_disconnect(
+    handle, end, steps, status, monkeypatch
+):
+    # Guards against blaming callers for connections the server closed.
     connection = connections.Connection()
     if end is not None:
         connection.note(end)
@@ -47,11 +69,13 @@
     node = types.SimpleNamespace(
         clock=time.monotonic, explanations=explanations
     )
-    monkeypatch.setattr(handlers.Handler, '_handle', route)
+    monkeypatch.setattr(handlers.Handler, '_handle', handle)
     handler = handlers.Handler(node, exchanges.Exchange(scope, None, None))
     with trio.move_on_after(0.1):
         await handler.serve()
     assert handler._status == status
-    told = explanations.get(connection.request_id) or {'steps': []}
-    found = [(step['step'], step['detail']['why']) for step in told['steps']]
-    assert found == steps
+    explanation = explanations.get(connection.request_id) or {'steps': []}
+    recorded = [
+        (step['step'], step['detail']['why']) for step in explanation['steps']
+    ]
+    assert recorded == steps
--- a/test/entry/test_streams_fuzz.py
+++ b/test/entry/test_streams_fuzz.py
@@ -1,4 +1,4 @@
-"""Feed an answer's reader what no sound engine sends."""
+"""Test streamed responses with invalid data from engines."""
 
 import json
 
@@ -37,17 +37,17 @@
 STREAM = strategies.lists(EVENT, max_size=5).map(b'\n\n'.join)
 
 
-def read(parts, ended=b'\n\n'):
-    """Return all that a stream says, or why it is not an answer."""
-    answer = streams.StreamedResponse(True)
+def read_stream(parts, ended=b'\n\n'):
+    """Return what is read from a stream, or its error message."""
+    response = streams.StreamedResponse(True)
     out = []
     try:
         for part in parts:
-            out.append(answer.feed(part))
-        out.append(answer.feed(ended))
-        usage = answer.attempt_usage(3)
-        text = answer.resume_text()
-        whole = (usage, answer.final_events())
+            out.append(response.feed(part))
+        out.append(response.feed(ended))
+        usage = response.attempt_usage(3)
+        text = response.resume_text()
+        whole = (usage, response.final_events())
     except (errors.UpstreamError, errors.RequestError) as error:
         return str(error)
     return b''.join(out), text, usage, whole
@@ -55,15 +55,14 @@
 
 @hypothesis.settings(derandomize=True, max_examples=500, deadline=None)
 @hypothesis.given(data=STREAM)
-def test_no_stream_ends_in_an_internal_error(data):
-    """An engine with a fault makes its callers see an internal error.
+def test_invalid_events_raise_no_internal_error(data):
+    """Guard against internal errors by invalid events of an engine.
 
-    What it sends is no event, or an event of another shape. That is the
-    engine's failure: the try counts as failed and may go on elsewhere.
+    The attempt must fail with an error that lets another engine be tried.
     """
-    found = read([data])
-    if isinstance(found, tuple):
-        assert all(count >= 0 for count in found[2])
+    result = read_stream([data])
+    if isinstance(result, tuple):
+        assert all(count >= 0 for count in result[2])
 
 
 @hypothesis.settings(derandomize=True, max_examples=200, deadline=None)
@@ -71,7 +70,7 @@
     words=strategies.lists(strategies.text(max_size=5), max_size=4),
     cuts=strategies.lists(strategies.integers(0, 400), max_size=6),
 )
-def test_where_reads_are_cut_makes_no_difference(words, cuts):
+def test_result_does_not_depend_on_chunk_boundaries(words, cuts):
     chunks = [{'choices': [{'text': word}]} for word in words]
     last = {'choices': [{'text': '', 'finish_reason': 'stop'}]}
     usage = {'prompt_tokens': 2, 'completion_tokens': len(words)}
@@ -80,8 +79,8 @@
     data = b'\n\n'.join([*events, b'data: [DONE]', b''])
     places = sorted({0, len(data), *(cut % len(data) for cut in cuts)})
     parts = [data[a:b] for a, b in zip(places, places[1:], strict=False)]
-    whole = read([data], b'')
-    assert read(parts, b'') == whole
+    whole = read_stream([data], b'')
+    assert read_stream(parts, b'') == whole
     assert whole[1] == ''.join(words)
     assert whole[2].output_tokens == len(words)
 
@@ -91,12 +90,12 @@
     [[], 'x', 1, {'prompt_tokens': 'x'}, {'prompt_tokens_details': 1}]
     + [{'prompt_tokens': -1}, {'completion_tokens': 1e300}, {'a': []}],
 )
-def test_usage_of_another_shape_is_the_engines_failure(usage):
+def test_invalid_usage_is_bounded_or_an_upstream_error(usage):
     try:
-        found = streams.parse_usage(usage)
+        result = streams.parse_usage(usage)
     except errors.UpstreamError:
         return
-    assert all(0 <= count < 2**53 for count in found)
+    assert all(0 <= count < 2**53 for count in result)
 
 
 @pytest.mark.promise
@@ -115,19 +114,17 @@
         ({'text': 'a'}, None),
     ],
 )
-def test_only_text_is_resumed(choices, text):
-    """A caller's tool is called twice, with half of the arguments each.
+def test_response_with_more_than_text_is_not_resumed(choices, text):
+    """Guard against repeated parts, such as a tool call, in a resumption.
 
-    An engine is lost in the middle of an answer that is not just text of
-    one choice. The next engine is told the text alone and begins the rest
-    anew, behind what the caller already has.
+    Only text can be resumed: the next engine would start anything else again.
     """
-    answer = streams.StreamedResponse(False)
+    response = streams.StreamedResponse(False)
     event = json.dumps({'choices': choices}).encode()
-    answer.feed(b'data: ' + event + b'\n\n')
+    response.feed(b'data: ' + event + b'\n\n')
     if text is not None:
-        assert answer.resume_text() == text
+        assert response.resume_text() == text
         return
     with pytest.raises(errors.RequestError) as caught:
-        answer.resume_text()
+        response.resume_text()
     assert caught.value.verdict.name == 'MAY_HAVE_RUN'
