--- a/gentianstair/entry/completions.py
+++ b/gentianstair/entry/completions.py
@@ -6,6 +6,7 @@
 from gentianstair import errors
 from gentianstair.entry import callers
 
+# Used if the caller sets no limit.
 DEFAULT_MAX_TOKENS = 256
 MAX_NESTING_DEPTH = 32
 MAX_PRIORITY = 9
--- a/gentianstair/entry/explain.py
+++ b/gentianstair/entry/explain.py
@@ -4,7 +4,7 @@
 import time
 import typing
 
-MAX_REQUESTS = 5000
+MAX_EXPLAINED_REQUESTS = 5000
 MAX_STEPS_PER_REQUEST = 40
 
 
@@ -19,7 +19,7 @@
 class Explanations:
     """Steps of the most recent requests, the oldest request evicted first."""
 
-    def __init__(self, max_requests: int = MAX_REQUESTS) -> None:
+    def __init__(self, max_requests: int = MAX_EXPLAINED_REQUESTS) -> None:
         self._max_requests = max_requests
         self._requests: collections.OrderedDict[
             str, tuple[str, list[Step]]
@@ -53,6 +53,8 @@
         }
 
 
-def make_explanations(max_requests: int = MAX_REQUESTS) -> Explanations:
+def make_explanations(
+    max_requests: int = MAX_EXPLAINED_REQUESTS,
+) -> Explanations:
     """Return an empty record."""
     return Explanations(max_requests)
--- a/gentianstair/entry/handler.py
+++ b/gentianstair/entry/handler.py
@@ -25,6 +25,7 @@
 from gentianstair.util import blocks
 
 _REQUEST_ID = re.compile(r'[A-Za-z0-9._-]{1,64}')
+# Retry-After of requests refused while the configuration is not fresh.
 NOT_FRESH_RETRY_AFTER_S = 1.0
 # Set by common client libraries to the number of earlier tries.
 RETRY_COUNT_HEADER = 'x-stainless-retry-count'
--- a/gentianstair/entry/main.py
+++ b/gentianstair/entry/main.py
@@ -35,6 +35,7 @@
 from gentianstair.util import serving
 from gentianstair.util import tls
 
+# How long the operator listener waits for its requests at shutdown.
 OPERATOR_DRAIN_TIMEOUT_S = 1.0
 
 
--- a/gentianstair/entry/streams.py
+++ b/gentianstair/entry/streams.py
@@ -103,8 +103,8 @@
     received. Events are stored as bytes and parsed only to resume: parsing
     each one would cost more than relaying it.
 
-    ``delivered_tokens`` counts the events forwarded in all attempts, as an
-    event carries one token. ``usage`` is what the last engine reported.
+    ``delivered_tokens`` counts the events forwarded in all attempts, taking
+    each as one token. ``usage`` is what the last engine reported.
     ``has_finish_reason`` is true once the last token was forwarded, and
     ``end_received`` once the engine sent its end-of-stream event.
     """
--- a/gentianstair/entry/usage.py
+++ b/gentianstair/entry/usage.py
@@ -21,7 +21,7 @@
 PURPOSE = 'usage'
 # Rows are kept until more than this many later windows are sealed.
 KEPT_WINDOWS = 3
-RETRY_S = 0.5
+FLUSH_RETRY_S = 0.5
 
 UNFLUSHED_TOKENS = prometheus_client.Gauge(
     'gentianstair_usage_unflushed_tokens',
@@ -134,7 +134,7 @@
                 await self._drop_sealed_rows()
             except errors.StoreError:
                 FLUSHES.labels('failed').inc()
-                await trio.sleep(RETRY_S)
+                await trio.sleep(FLUSH_RETRY_S)
 
     async def flush(self) -> None:
         """Write all counts; raise StoreError if they are not stored.
