--- a/gentianstair/entry/handler.py
+++ b/gentianstair/entry/handler.py
@@ -1,14 +1,5 @@
 """Serve one relayed request, from authentication to the response."""
 
-import collections.abc
-import re
-import typing
-import uuid
-
-import loguru
-import prometheus_client
-import trio
-
 from gentianstair import errors
 from gentianstair import verdict as verdicts
 from gentianstair.core import exchange as exchanges
@@ -17,12 +8,19 @@
 from gentianstair.entry import completions
 from gentianstair.entry import node as nodes
 from gentianstair.entry import relay
+from gentianstair.entry import remote_prefill
 from gentianstair.entry import request as requests
 from gentianstair.entry import services
-from gentianstair.entry import split
 from gentianstair.entry import streams
 from gentianstair.entry import work as works
-from gentianstair.util import blocks
+from gentianstair.util import prefix_hashing
+import collections.abc
+import loguru
+import prometheus_client
+import re
+import trio
+import typing
+import uuid
 
 _REQUEST_ID = re.compile(r'[A-Za-z0-9._-]{1,64}')
 # Retry-After of requests refused while the configuration is not fresh.
@@ -114,7 +112,9 @@
         connection = self._exchange.connection
         self._status = self._exchange.disconnect_status()
         if connection.is_closed_here:
-            self._add_explanation('closed-here', why=connection.end.value)
+            self._add_explanation(
+                'closed-here', why=connection.end_reason.value
+            )
         else:
             self._add_explanation('caller-gone', why=str(error))
 
@@ -182,7 +182,7 @@
             completion.max_tokens,
             deadline_s,
             completion.priority,
-            blocks.block_hashes(words, salt),
+            prefix_hashing.block_hashes(words, salt),
         )
 
     async def _serve_completion(
@@ -249,7 +249,7 @@
                 node, exchange, request, completion, model
             )
             usage = await streaming.run(
-                split.with_reader(
+                remote_prefill.with_remote_prefill(
                     node, request, completion, model, streaming.attempt
                 )
             )
@@ -257,7 +257,7 @@
         else:
             buffered = relay.BufferedRelay(node, request, completion, model)
             usage = await buffered.run(
-                split.with_reader(
+                remote_prefill.with_remote_prefill(
                     node, request, completion, model, buffered.attempt
                 )
             )
--- a/gentianstair/entry/main.py
+++ b/gentianstair/entry/main.py
@@ -1,14 +1,5 @@
 """Run the program gentianstair-entry."""
 
-import functools
-import time
-import typing
-
-import loguru
-import quart
-import quart_trio
-import trio
-
 from gentianstair import daemon
 from gentianstair import errors
 from gentianstair.config import view as views
@@ -21,7 +12,7 @@
 from gentianstair.entry import explain
 from gentianstair.entry import limits
 from gentianstair.entry import node as nodes
-from gentianstair.entry import retries
+from gentianstair.entry import retry_policy
 from gentianstair.entry import routing
 from gentianstair.entry import sharing
 from gentianstair.entry import upstream_monitor
@@ -34,6 +25,13 @@
 from gentianstair.util import clock
 from gentianstair.util import serving
 from gentianstair.util import tls
+import functools
+import loguru
+import quart
+import quart_trio
+import time
+import trio
+import typing
 
 # How long the operator listener waits for its requests at shutdown.
 OPERATOR_DRAIN_TIMEOUT_S = 1.0
@@ -94,7 +92,7 @@
         router=routing.make_router(
             config.vm_name, config.failure_domain, split=True
         ),
-        retries=retries.make_retries(),
+        retries=retry_policy.make_retry_policy(),
         claims=claims.make_claims(
             store,
             config.vm_name,
@@ -147,7 +145,7 @@
 
     @app.get('/operator/confirmed')
     async def confirmed():
-        return {'revisions': await peer.confirmed()}
+        return {'revisions': await peer.confirmed_revisions()}
 
     @app.get('/operator/explain/<request_id>')
     async def explanation(request_id: str):
@@ -190,7 +188,7 @@
         config.listen,
         config.insecure_plain,
     )
-    tls.check_plain(
+    tls.check_plaintext_allowed(
         config.operator_listen, config.insecure_plain, '--operator-listen'
     )
     sock = serving.listen(config.listen, reuse_port=True)
@@ -202,7 +200,7 @@
     leaving = trio.Event()
 
     async def leave() -> None:
-        await serving.wait_for_stop()
+        await serving.wait_for_stop_signal()
         loguru.logger.info('stopping: draining requests in flight')
         leaving.set()
         peer.leave()
@@ -235,7 +233,7 @@
         )
         print(f'listening {host}:{port} {operator_port}', flush=True)
         if credentials:
-            nursery.start_soon(credentials.run)
+            nursery.start_soon(credentials.watch_files)
         await serving.serve(
             apps.create_app(node, leaving),
             sock,
--- a/gentianstair/entry/relay.py
+++ b/gentianstair/entry/relay.py
@@ -11,12 +11,12 @@
 from gentianstair import errors
 from gentianstair import verdict as verdicts
 from gentianstair.core import exchange as exchanges
+from gentianstair.entry import attempts
 from gentianstair.entry import callers
 from gentianstair.entry import completions
 from gentianstair.entry import node as nodes
 from gentianstair.entry import request as requests
 from gentianstair.entry import streams
-from gentianstair.entry import tries
 from gentianstair.upstreams import transport
 
 # Set to 1 by an engine that did not start to run the request.
@@ -32,7 +32,7 @@
 
 def engine_request(
     request: requests.Request,
-    tried: tries.Try,
+    tried: attempts.Attempt,
     path: str,
     body: bytes,
 ) -> httpx.Request:
@@ -132,7 +132,7 @@
 def record_usage(
     node: nodes.Node,
     request: requests.Request,
-    tried: tries.Try,
+    tried: attempts.Attempt,
     usage: streams.Usage,
 ) -> None:
     """Record usage for the customer and the upstream's capacity class."""
@@ -166,7 +166,7 @@
         self._billed_tokens = 0
         self.response = streams.StreamedResponse(completion.wants_usage)
 
-    async def attempt(self, tried: tries.Try) -> streams.Usage:
+    async def attempt(self, tried: attempts.Attempt) -> streams.Usage:
         """Stream from one engine, continuing after the delivered text."""
         node = self._node
         if self.response.has_finish_reason:
@@ -243,7 +243,7 @@
         self,
         upstream_response: httpx.Response,
         stall_timeout: StallTimeout,
-        tried: tries.Try,
+        tried: attempts.Attempt,
         bill_delivered: collections.abc.Callable[[], None],
     ) -> None:
         response = self.response
@@ -263,7 +263,7 @@
                 bill_at += BILLING_STEP_TOKENS
                 bill_delivered()
 
-    def _bill_delivered(self, tried: tries.Try) -> None:
+    def _bill_delivered(self, tried: attempts.Attempt) -> None:
         """Record usage of a running stream.
 
         Usage that is not recorded is lost if this VM is killed, and a stream
@@ -281,12 +281,12 @@
         usage = streams.Usage(output_tokens=tokens)
         record_usage(self._node, self._request, tried, usage)
 
-    async def run(self, attempt: tries.Attempt) -> streams.Usage:
+    async def run(self, attempt: attempts.RunAttempt) -> streams.Usage:
         """Stream the complete response; raise RequestError if that fails.
 
         attempt is the method of this object, or a wrapper of it.
         """
-        usage = await tries.run(self._node, self._request, attempt)
+        usage = await attempts.run(self._node, self._request, attempt)
         if not self._exchange.ended:
             await self._exchange.end(self.response.final_events())
         return usage
@@ -310,7 +310,7 @@
         self.content_type = JSON_TYPE
         self.body = b''
 
-    async def attempt(self, tried: tries.Try) -> streams.Usage:
+    async def attempt(self, tried: attempts.Attempt) -> streams.Usage:
         """Read the complete response of one engine."""
         node = self._node
         body = completions.engine_body(self._completion, self._model)
@@ -340,12 +340,12 @@
         record_usage(node, self._request, tried, usage)
         return usage
 
-    async def run(self, attempt: tries.Attempt) -> streams.Usage:
+    async def run(self, attempt: attempts.RunAttempt) -> streams.Usage:
         """Return the usage, with status, content_type and body set.
 
         attempt is the method of this object, or a wrapper of it.
         """
-        return await tries.run(self._node, self._request, attempt)
+        return await attempts.run(self._node, self._request, attempt)
 
 
 def response_headers(request: requests.Request) -> exchanges.Headers:
--- a/gentianstair/entry/services.py
+++ b/gentianstair/entry/services.py
@@ -11,13 +11,13 @@
 from gentianstair import errors
 from gentianstair import verdict as verdicts
 from gentianstair.core import exchange as exchanges
+from gentianstair.entry import attempts
 from gentianstair.entry import claim_shard
 from gentianstair.entry import claims as claimses
 from gentianstair.entry import node as nodes
 from gentianstair.entry import relay
 from gentianstair.entry import request as requests
 from gentianstair.entry import streams
-from gentianstair.entry import tries
 
 PATH_PREFIX = '/services/'
 HEDGES = prometheus_client.Counter(
@@ -187,7 +187,7 @@
         self._claim = claim
         self.response: ServiceResponse | None = None
 
-    def _build_request(self, tried: tries.Try) -> httpx.Request:
+    def _build_request(self, tried: attempts.Attempt) -> httpx.Request:
         call = self._call
         headers = [
             *call.headers,
@@ -209,7 +209,7 @@
         if self._claim is not None:
             self._node.claims.check_sendable(self._claim)
 
-    async def attempt(self, tried: tries.Try) -> streams.Usage:
+    async def attempt(self, tried: attempts.Attempt) -> streams.Usage:
         """Send the call to one upstream and read its response."""
         upstream_request = self._build_request(tried)
         remaining_s = self._request.work.deadline_s - self._node.clock()
@@ -314,7 +314,7 @@
     trying: set[str] | None = None,
 ) -> ServiceResponse:
     service_relay = ServiceRelay(node, request, call, claim)
-    await tries.run(node, request, service_relay.attempt, trying)
+    await attempts.run(node, request, service_relay.attempt, trying)
     assert service_relay.response is not None
     return service_relay.response
 
@@ -326,7 +326,7 @@
 
     The first response is returned and the other copy is cancelled.
     """
-    delay_s = node.retries.hedges.delay_s(call.service, call.repeatable)
+    delay_s = node.retries.hedge_delays.delay_s(call.service, call.repeatable)
     if delay_s is None:
         return await _run_once(node, request, call, None)
     trying: set[str] = set()
@@ -351,7 +351,7 @@
         if (
             first_upstream
             and not has_ended
-            and node.retries.budget.allow(customer, first_upstream)
+            and node.retries.budget.try_spend(customer, first_upstream)
         ):
             HEDGES.labels(call.service).inc()
             nursery.start_soon(send_copy, nursery.cancel_scope)
@@ -373,5 +373,7 @@
         return await _run_once(node, request, call, None)
     started_s = node.clock()
     response = await _run_hedged(node, request, call)
-    node.retries.hedges.report(call.service, node.clock() - started_s)
+    node.retries.hedge_delays.record_latency(
+        call.service, node.clock() - started_s
+    )
     return response
--- a/gentianstair/entry/usage.py
+++ b/gentianstair/entry/usage.py
@@ -1,18 +1,16 @@
 """Count the usage of customers and write the counts to the store."""
 
-import collections.abc
-import contextlib
-import typing
-
-import msgspec
-import prometheus_client
-import trio
-
 from gentianstair import errors
 from gentianstair.generated import messages
 from gentianstair.store import settled
 from gentianstair.store import store as stores
 from gentianstair.util import usage_rows
+import collections.abc
+import contextlib
+import msgspec
+import prometheus_client
+import trio
+import typing
 
 KIND = 'usage'
 SEAL_KIND = 'usage-seal'
@@ -104,7 +102,7 @@
         key = usage_rows.key_of(row)
         counted = self._rows.get(key)
         self._rows[key] = (
-            row if counted is None else usage_rows.plus(counted, row)
+            row if counted is None else usage_rows.add(counted, row)
         )
         self.has_unflushed = True
         self.unflushed_tokens += prompt_tokens + output_tokens
@@ -203,7 +201,7 @@
     def _subtract_written(self, written: dict) -> None:
         """Keep only the counts above those of written."""
         remaining = {
-            key: usage_rows.minus(row, written.get(key))
+            key: usage_rows.subtract(row, written.get(key))
             for key, row in self._rows.items()
         }
         self._rows = {
--- a/gentianstair/peers/link.py
+++ b/gentianstair/peers/link.py
@@ -18,15 +18,16 @@
 from gentianstair.util import addresses
 from gentianstair.util import tls
 
-VERSION = 1
+PROTOCOL_VERSION = 1
 MAX_MESSAGE_BYTES = 2 * 1024 * 1024
-MAX_DEPTH = 12
+# Limit on nested maps and lists in a message.
+MAX_NESTING_DEPTH = 12
 OPEN_TIMEOUT_S = 3.0
 CLOSE_TIMEOUT_S = 0.5
-# Longest time that sent bytes may stay undelivered.
-DELIVERY_MS = 3000
-# Frames that wait to be read before the sender is held back.
-RECEIVE_QUEUE = 16
+# Longest time that sent bytes may stay unacknowledged.
+DELIVERY_TIMEOUT_MS = 3000
+# Frames that may wait to be read before the sender is throttled.
+MAX_RECEIVE_QUEUE_FRAMES = 16
 
 MESSAGE_TYPES: dict[str, type] = {
     'hello': messages.PeerHello,
@@ -45,12 +46,12 @@
     'feed': messages.GatewayFeed,
 }
 
-BYTES = prometheus_client.Counter(
+MESSAGE_BYTES = prometheus_client.Counter(
     'gentianstair_peer_bytes',
     'Payload bytes of messages between peers.',
     ['direction', 'type'],
 )
-DROPPED = prometheus_client.Counter(
+DROPPED_MESSAGES = prometheus_client.Counter(
     'gentianstair_peer_dropped_messages',
     'Messages from peers that were dropped.',
     ['reason'],
@@ -60,44 +61,47 @@
 
 
 class LinkClosedError(errors.GentianstairError):
-    """Report that a link is closed or broke; what was sent may be lost."""
+    """Report that a link closed or broke; messages sent may be lost."""
 
 
 def encode(message: Message) -> bytes:
-    """Return the bytes of a message; its version is filled in."""
-    data = cbor2.dumps({'version': VERSION, **message})
-    BYTES.labels('out', message['type']).inc(len(data))
+    """Return the bytes of a message, with the protocol version added."""
+    data = cbor2.dumps({'version': PROTOCOL_VERSION, **message})
+    MESSAGE_BYTES.labels('out', message['type']).inc(len(data))
     return data
 
 
 def decode(data: bytes) -> Message | None:
     """Return the message in data, or None for a type not known here.
 
-    A field that the schema does not have is left out, so that a newer peer
-    can be read during a rollout. Raise DecodeError for all else.
+    Fields that the schema does not have are ignored, so that messages of a
+    newer version can be read during a rollout. Raise DecodeError for any
+    other invalid message.
     """
     if len(data) > MAX_MESSAGE_BYTES:
-        raise errors.DecodeError(f'{len(data)} bytes are too many')
+        raise errors.DecodeError(f'message of {len(data)} bytes is too large')
     try:
-        raw = cbor2.loads(data, max_depth=MAX_DEPTH, allow_indefinite=False)
-        name = raw['type'] if isinstance(raw, dict) else None
+        raw = cbor2.loads(
+            data, max_depth=MAX_NESTING_DEPTH, allow_indefinite=False
+        )
+        message_type = raw['type'] if isinstance(raw, dict) else None
     except (cbor2.CBORDecodeError, KeyError, ValueError) as error:
         raise errors.DecodeError(str(error)) from error
-    if not isinstance(name, str):
-        raise errors.DecodeError('a message must be a map with a type')
-    if name not in MESSAGE_TYPES:
-        DROPPED.labels('unknown type').inc()
+    if not isinstance(message_type, str):
+        raise errors.DecodeError('message is not a map with a type')
+    if message_type not in MESSAGE_TYPES:
+        DROPPED_MESSAGES.labels('unknown type').inc()
         return None
     try:
-        message = msgspec.convert(raw, MESSAGE_TYPES[name])
+        message = msgspec.convert(raw, MESSAGE_TYPES[message_type])
     except (msgspec.ValidationError, TypeError) as error:
         raise errors.DecodeError(str(error)) from error
-    BYTES.labels('in', name).inc(len(data))
+    MESSAGE_BYTES.labels('in', message_type).inc(len(data))
     return typing.cast(Message, message)
 
 
 class Channel(abc.ABC):
-    """Both ends of a connection that keeps order until it breaks."""
+    """One end of a connection that delivers messages in order."""
 
     @abc.abstractmethod
     async def send(self, data: bytes) -> None:
@@ -105,32 +109,38 @@
 
     @abc.abstractmethod
     async def receive(self) -> bytes:
-        """Return the next message; raise LinkClosedError at the end."""
+        """Return the next message; raise LinkClosedError when closed."""
 
     @abc.abstractmethod
     async def aclose(self) -> None:
-        """Close without waiting for the other end for long."""
+        """Close, waiting only briefly for the other end."""
 
 
-Handler = typing.Callable[[Channel], typing.Awaitable[None]]
+ChannelHandler = typing.Callable[[Channel], typing.Awaitable[None]]
 
 
 class Network(abc.ABC):
-    """What opens and accepts channels; tests put one in memory."""
+    """Open and accept channels; tests use one in memory."""
 
     @abc.abstractmethod
     def open(
         self, address: str
     ) -> contextlib.AbstractAsyncContextManager[Channel]:
-        """Return a context with a channel; raise LinkClosedError."""
+        """Return a context manager for a channel to address.
+
+        Raise LinkClosedError when the address cannot be reached.
+        """
 
     @abc.abstractmethod
     async def serve(
         self,
-        handler: Handler,
+        handler: ChannelHandler,
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Run handler for each incoming channel; report the address."""
+        """Run handler for each incoming channel.
+
+        Report the listening address through task_status.
+        """
 
 
 class WebsocketChannel(Channel):
@@ -159,23 +169,24 @@
         await self._connection.aclose()
 
 
-def _bound_delivery(connection: typing.Any) -> None:
-    """Have the kernel break a link whose bytes are not taken in time.
+def _limit_delivery_time(connection: typing.Any) -> None:
+    """Have the kernel break a link whose bytes are not acknowledged.
 
-    Behind a cut nothing comes back, and without a bound the kernel would
-    go on for minutes while both ends think that the link stands. Raise
-    LinkClosedError: a peer may close as soon as it has accepted, and the
-    socket is then gone before it is bounded.
+    Without this limit the kernel would retransmit for minutes during a
+    partition. Raise LinkClosedError when the socket is gone, as when the
+    peer closes right after it accepted.
     """
     stream = connection.stream
     if not isinstance(stream, trio.SocketStream):
         return
     try:
         stream.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, DELIVERY_MS
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, DELIVERY_TIMEOUT_MS
         )
     except OSError as error:
-        raise LinkClosedError(f'closed at once: {error}') from error
+        raise LinkClosedError(
+            f'connection closed before use: {error}'
+        ) from error
 
 
 class WebsocketNetwork(Network):
@@ -202,13 +213,13 @@
                 close_timeout=CLOSE_TIMEOUT_S,
                 ping_interval=None,
                 max_size=MAX_MESSAGE_BYTES,
-                max_queue=RECEIVE_QUEUE,
+                max_queue=MAX_RECEIVE_QUEUE_FRAMES,
             )
-            opened = await connection.__aenter__()
+            websocket = await connection.__aenter__()
         except (
             OSError,
             TimeoutError,
-            # An address that is none, from a peer or the list of VMs.
+            # Malformed address, from a peer or the list of VMs.
             ValueError,
             trio.TooSlowError,
             trio.BrokenResourceError,
@@ -216,14 +227,14 @@
         ) as error:
             raise LinkClosedError(f'{address}: {error}') from error
         try:
-            _bound_delivery(opened)
-            yield WebsocketChannel(opened)
+            _limit_delivery_time(websocket)
+            yield WebsocketChannel(websocket)
         finally:
             await connection.__aexit__(None, None, None)
 
     async def serve(
         self,
-        handler: Handler,
+        handler: ChannelHandler,
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
     ) -> None:
         """See Network.serve."""
@@ -237,7 +248,7 @@
 
         async with trio.open_nursery() as nursery:
             if self._credentials:
-                nursery.start_soon(self._credentials.run)
+                nursery.start_soon(self._credentials.watch_files)
             await websockets.trio.server.serve(
                 accept,
                 listeners=listeners,
@@ -247,24 +258,24 @@
                 close_timeout=CLOSE_TIMEOUT_S,
                 ping_interval=None,
                 max_size=MAX_MESSAGE_BYTES,
-                max_queue=RECEIVE_QUEUE,
+                max_queue=MAX_RECEIVE_QUEUE_FRAMES,
             )
 
 
 def make_network(settings: typing.Any) -> WebsocketNetwork:
     """Return the network that the settings describe.
 
-    Raise SettingsError when links would be plain beyond loopback without
-    insecure_plain, or when the TLS files do not load.
+    Raise SettingsError when links would be unencrypted beyond loopback
+    without insecure_plain, or when the TLS files do not load.
     """
-    files = tls.Files(
+    files = tls.CertificateFiles(
         settings.peer_tls_cert_file,
         settings.peer_tls_key_file,
         settings.peer_tls_ca_file,
     )
     credentials = tls.make_peer_credentials(files)
     if credentials is None:
-        tls.check_plain(
+        tls.check_plaintext_allowed(
             settings.peer_listen, settings.insecure_plain, '--peer-listen'
         )
     return WebsocketNetwork(settings.peer_listen, credentials)
--- a/gentianstair/util/audit.py
+++ b/gentianstair/util/audit.py
@@ -1,12 +1,10 @@
-"""Keep the audit trail: who changed what, when, from what to what.
-
-An entry is recorded before its change is tried, and its outcome after. The
-other order would lose the entry of a change whose author died in between;
-with this one the worst case is an entry without an outcome, which says that
-the change was intended. A change also writes its entry's name into the
-object (field ``change``), so such an entry can be settled later: the change
-took effect if the object, or the ``before`` of a later entry, carries the
-name.
+"""Keep the audit trail: who changed what and when, old and new values.
+
+An entry is recorded before its change is attempted, and its outcome after.
+If the process dies in between, the entry remains without an outcome. A
+change also writes the name of its entry into the object (field ``change``),
+so that a missing outcome can be inferred later: the change took effect if
+the object, or the ``before`` of a later entry, has that name.
 """
 
 import datetime
@@ -21,14 +19,14 @@
 
 KIND = 'audit'
 OUTCOME_KIND = 'audit-outcome'
-# Objects that hold the record of an order, whose state tells its outcome.
+# Kinds of objects that record an order; their state gives its outcome.
 ORDER_KINDS = frozenset({'engine-order', 'upstream-order'})
 NOT_DONE = 'not done'
 CREATE_TRIES = 3
-# More hours than this are listed by day, more days in one call.
-MAX_LISTS = 40
-# A write still under way is certainly settled after this long.
-SETTLE_S = 60.0
+# Most list calls by hour prefix; then days are listed, then everything.
+MAX_LIST_CALLS = 40
+# Upper bound on the time that a write may take to become visible.
+MAX_WRITE_S = 60.0
 
 
 class Outcome(enum.StrEnum):
@@ -56,7 +54,7 @@
     before: store.Value | None,
     after: store.Value | None,
 ) -> messages.AuditValue:
-    """Return an entry for a change that is about to be tried."""
+    """Return an entry for a change that is about to be attempted."""
     return {
         'at': timestamp(),
         'actor': actor,
@@ -67,8 +65,8 @@
     }
 
 
-def make_name(entry: messages.AuditValue) -> str:
-    """Return a new name; names sort by time, to the authors' clocks."""
+def make_entry_name(entry: messages.AuditValue) -> str:
+    """Return a unique name; names sort by time on the authors' clocks."""
     stamp = entry['at'].replace('-', '').replace(':', '')
     return f'{stamp}-{secrets.token_hex(6)}'
 
@@ -76,14 +74,14 @@
 async def _create(
     client: store.Store, kind: str, name: str, value: typing.Any
 ) -> None:
-    """Create an object of the trail, whose name nobody else uses."""
+    """Create an object with a unique name, retrying unknown outcomes."""
     for attempt in range(CREATE_TRIES):
         try:
             await client.put(kind, name, value, 0, purpose='audit')
             return
         except errors.StoreConflictError:
-            # The name is random, so only an earlier try of ours, whose
-            # answer was lost, can have created it.
+            # The name is random, so an earlier attempt of this call, whose
+            # response was lost, has created the object.
             return
         except errors.StoreUnknownError:
             if attempt == CREATE_TRIES - 1:
@@ -97,20 +95,20 @@
 ) -> str:
     """Record an entry and return its name.
 
-    Raise StoreUnavailableError or StoreUnknownError; the caller must then
-    not go on to make the change.
+    Raise StoreUnavailableError or StoreUnknownError; the change must then
+    not be made.
     """
-    name = name or make_name(entry)
+    name = name or make_entry_name(entry)
     await _create(client, KIND, name, entry)
     return name
 
 
-async def conclude(
+async def record_outcome(
     client: store.Store, name: str, outcome: Outcome, version: int = 0
 ) -> None:
-    """Record how the change of an entry ended.
+    """Record the outcome of an entry's change.
 
-    ``version`` is the store's version after the change, 0 if unknown.
+    ``version`` is the version of the object after the change, 0 if unknown.
     """
     value: messages.AuditOutcome = {
         'at': timestamp(),
@@ -121,9 +119,9 @@
 
 
 class Record(typing.NamedTuple):
-    """An entry as read back, with what became of its change.
+    """An entry with the recorded or inferred outcome of its change.
 
-    ``outcome`` is ``done``, ``refused``, ``not done`` (its author died or
+    ``outcome`` is ``done``, ``refused``, ``not done`` (the author died or
     lost the store before the change) or ``unknown``.
     """
 
@@ -133,25 +131,24 @@
 
 
 def _prefixes(since: datetime.datetime) -> list[str]:
-    """Return prefixes that names of entries since then can have.
+    """Return the name prefixes that cover all entries since a time.
 
-    Short ones for a long time, so that neither one listing is huge nor
-    their number. Authors' clocks may run ahead, so an hour of the future
-    is among them.
+    Longer periods use shorter prefixes, which bounds the number of list
+    calls. The range ends an hour ahead, as authors' clocks may be fast.
     """
     hour = datetime.timedelta(hours=1)
     first = since.astimezone(datetime.UTC)
     last = datetime.datetime.now(datetime.UTC) + hour
     for unit, form in ((hour, '%Y%m%dT%H'), (24 * hour, '%Y%m%d')):
         count = int((last - first) / unit) + 1
-        if count <= MAX_LISTS:
+        if count <= MAX_LIST_CALLS:
             times = [first + unit * step for step in range(count)]
             found = [time_.strftime(form) for time_ in (*times, last)]
             return sorted(set(found))
     return ['']
 
 
-async def _list(
+async def _list_objects(
     client: store.Store, kind: str, prefixes: list[str]
 ) -> dict[str, store.Value]:
     found: dict[str, store.Value] = {}
@@ -162,10 +159,10 @@
 
 
 async def read(client: store.Store, since: datetime.datetime) -> list[Record]:
-    """Return the entries since then, oldest first."""
+    """Return the entries since a time, oldest first."""
     prefixes = _prefixes(since)
-    entries = await _list(client, KIND, prefixes)
-    outcomes = await _list(client, OUTCOME_KIND, prefixes)
+    entries = await _list_objects(client, KIND, prefixes)
+    outcomes = await _list_objects(client, OUTCOME_KIND, prefixes)
     first = timestamp(since)
     records = []
     for name in sorted(entries):
@@ -174,22 +171,22 @@
             continue
         outcome = outcomes.get(name, {}).get('outcome')
         if outcome in (None, Outcome.UNKNOWN):
-            outcome = await _settle(client, name, entry, entries)
+            outcome = await _infer_outcome(client, name, entry, entries)
         records.append(Record(name, entry, outcome))
     return records
 
 
-def _mark(value: store.Value | None) -> str | None:
+def _entry_name_in(value: store.Value | None) -> str | None:
     return value.get('change') if value else None
 
 
-async def _settle(
+async def _infer_outcome(
     client: store.Store,
     name: str,
     entry: messages.AuditValue,
     entries: dict[str, store.Value],
 ) -> str:
-    """Return what became of a change whose outcome was not recorded."""
+    """Return the outcome of a change for which none was recorded."""
     kind, _, target = entry['target'].partition('/')
     present = await client.get(kind, target, purpose='audit')
     seen = [present.value] + [
@@ -197,24 +194,25 @@
         for later in entries.values()
         if later['target'] == entry['target'] and later is not entry
     ]
-    ours = [value for value in seen if _mark(value) == name]
+    ours = [value for value in seen if _entry_name_in(value) == name]
     if ours and kind not in ORDER_KINDS:
         return Outcome.DONE.value
     if ours:
         return _order_outcome({value['state'] for value in ours if value})
     age_s = time.time() - _unix_time_s(entry['at'])
-    # Somebody found the object as it was before this change, and nobody
-    # found it as it was after.
-    if age_s > SETTLE_S and _mark(entry['before']) in map(_mark, seen):
+    # The state before the change was seen after it; the new state never was.
+    if age_s > MAX_WRITE_S and _entry_name_in(entry['before']) in map(
+        _entry_name_in, seen
+    ):
         return NOT_DONE
     return Outcome.UNKNOWN.value
 
 
 def _order_outcome(states: set[str]) -> str:
-    """Return what became of an order whose record was in these states.
+    """Return the outcome of an order, given the states of its record.
 
-    The record of an order carries its entry's name from before it is sent,
-    so the name alone does not tell that it took effect.
+    The record has the entry's name before the order is sent, so the name
+    alone does not show that the order took effect.
     """
     if states & {'done', 'accepted'}:
         return Outcome.DONE.value
@@ -230,9 +228,9 @@
     'OUTCOME_KIND',
     'Outcome',
     'Record',
-    'conclude',
+    'record_outcome',
     'make_entry',
-    'make_name',
+    'make_entry_name',
     'read',
     'record',
     'timestamp',
--- a/gentianstair/util/log_lines.py
+++ b/gentianstair/util/log_lines.py
@@ -1,37 +1,37 @@
-"""Read JSON log lines of any size and state in constant memory."""
+"""Read JSON log lines in constant memory, skipping malformed ones."""
 
 import collections.abc
 import json
 import typing
 
-# A longer line is no line of ours; it is counted as unreadable and skipped.
-LONGEST_LINE_BYTES = 65536
+# Longer lines are counted as unreadable and skipped.
+MAX_LINE_BYTES = 65536
 
 Line = dict[str, typing.Any]
 
 
 class Reader:
-    """Lines of several streams, one after the other.
+    """Iterates over the log lines of several streams in turn.
 
-    ``read`` and ``unreadable`` count the lines so far. Lines may be cut,
-    mixed with other text, or of another version: what is no JSON object
-    with a time is counted and passed over.
+    ``line_count`` and ``unreadable_count`` count the lines so far. A line
+    is unreadable if it is not a JSON object with a timestamp, for example
+    because it is truncated or mixed with other text.
     """
 
     def __init__(
         self, streams: collections.abc.Iterable[typing.BinaryIO]
     ) -> None:
         self._streams = streams
-        self.read = 0
-        self.unreadable = 0
+        self.line_count = 0
+        self.unreadable_count = 0
 
     def __iter__(self) -> collections.abc.Iterator[Line]:
         for stream in self._streams:
             for data in _split(stream):
-                self.read += 1
+                self.line_count += 1
                 line = parse(data) if data is not None else None
                 if line is None:
-                    self.unreadable += 1
+                    self.unreadable_count += 1
                 else:
                     yield line
 
@@ -39,20 +39,20 @@
 def _split(
     stream: typing.BinaryIO,
 ) -> collections.abc.Iterator[bytes | None]:
-    """Yield lines, None for one that is too long."""
-    while data := stream.readline(LONGEST_LINE_BYTES):
-        if len(data) < LONGEST_LINE_BYTES or data.endswith(b'\n'):
+    """Yield lines, or None for a line that is too long."""
+    while data := stream.readline(MAX_LINE_BYTES):
+        if len(data) < MAX_LINE_BYTES or data.endswith(b'\n'):
             yield data
             continue
         while data and not data.endswith(b'\n'):
-            data = stream.readline(LONGEST_LINE_BYTES)
+            data = stream.readline(MAX_LINE_BYTES)
         yield None
 
 
 def parse(data: bytes) -> Line | None:
-    """Return the object in a line, or None.
+    """Return the JSON object in a line, or None if there is none.
 
-    Text before it, such as a time that a collector adds, is passed over.
+    Text before the object, such as a collector's timestamp, is ignored.
 
     >>> parse(b'x 1 {"at": "2026", "event": "answer"}')['event']
     'answer'
--- a/gentianstair/util/logs.py
+++ b/gentianstair/util/logs.py
@@ -1,4 +1,4 @@
-"""Write logs as JSON lines to standard error, never with a key in them."""
+"""Write logs as JSON lines to standard error, with secrets redacted."""
 
 import json
 import logging
@@ -10,7 +10,7 @@
 
 import loguru
 
-# Fields that may be bound; each has few or short values.
+# Names of the fields that log lines may bind.
 FIELDS = (
     'request_id',
     'customer',
@@ -20,21 +20,21 @@
     'verdict',
 )
 REDACTED = '[redacted]'
-MAX_TEXT = 8000
+MAX_TEXT_CHARS = 8000
 LIBRARY_LEVEL = logging.WARNING
 _SECRET_NAMES = frozenset(
     {'authorization', 'api_key', 'key', 'secret', 'password'}
 )
-# A caller key as granted, and a private key.
-_SECRETS = re.compile(
+# The keys issued to callers, and PEM private keys.
+_SECRET_PATTERN = re.compile(
     r'gst_[A-Za-z0-9_-]{8,}'
     r'|-----BEGIN[A-Z ]*PRIVATE KEY-----.*?(?:-----END|$)',
     re.DOTALL,
 )
-# What is assigned to a name that promises a secret, or follows "Bearer". A
-# header shows as ``authorization: x``, ``'authorization', 'x'`` or
+# A value that follows the name of a secret, or "Bearer" or "Basic". Headers
+# appear as ``authorization: x``, ``'authorization', 'x'`` or
 # ``b'authorization', b'x'``.
-_ASSIGNED = re.compile(
+_ASSIGNED_SECRET_PATTERN = re.compile(
     r'''((?:authorization|api[-_]key|password|secret)['"]?\s*[:=,]\s*'''
     r'''(?:b?['"])?|\b(?:bearer|basic)\s)'''
     r'''(?:\s*(?:bearer|basic)\s)?\s*[^\s'",)}\]]+''',
@@ -43,36 +43,36 @@
 
 
 def redact(text: str) -> str:
-    """Return text without the secrets in it.
+    """Return the text with its secrets replaced.
 
     >>> redact('sent Authorization: Bearer abc.def-1 to engine-1')
     'sent Authorization: [redacted] to engine-1'
     >>> redact('found gst_0123456789abc')
     'found [redacted]'
     """
-    text = _SECRETS.sub(REDACTED, text)
-    return _ASSIGNED.sub(rf'\1{REDACTED}', text)
+    text = _SECRET_PATTERN.sub(REDACTED, text)
+    return _ASSIGNED_SECRET_PATTERN.sub(rf'\1{REDACTED}', text)
 
 
-def _clean(value: typing.Any) -> typing.Any:
-    """Return a value as JSON can carry it, redacted at every depth."""
+def _sanitize(value: typing.Any) -> typing.Any:
+    """Return a value in JSON types, redacted at every depth."""
     if value is None or isinstance(value, (bool, int, float)):
         return value
     if isinstance(value, dict):
-        return {str(key): _clean_field(key, value[key]) for key in value}
+        return {str(key): _sanitize_field(key, value[key]) for key in value}
     if isinstance(value, (list, tuple, set, frozenset)):
-        return [_clean(item) for item in value]
+        return [_sanitize(item) for item in value]
     text = value if isinstance(value, str) else repr(value)
-    # Cut twice: first so that a huge text costs little to search, then so
-    # that no key is cut in two and slips past the search.
-    return redact(text[: 2 * MAX_TEXT])[:MAX_TEXT]
+    # Truncated before the search to bound its cost, and again after it, so
+    # that a key that the first cut splits is not logged in part.
+    return redact(text[: 2 * MAX_TEXT_CHARS])[:MAX_TEXT_CHARS]
 
 
-def _clean_field(name: typing.Any, value: typing.Any) -> typing.Any:
-    """Return the value of a named field; a secret's name hides it whole."""
+def _sanitize_field(name: typing.Any, value: typing.Any) -> typing.Any:
+    """Return a field's value, redacted whole if its name is a secret's."""
     if str(name).lower().replace('-', '_') in _SECRET_NAMES:
         return REDACTED
-    return _clean(value)
+    return _sanitize(value)
 
 
 def to_line(record: typing.Any) -> str:
@@ -81,31 +81,31 @@
         'at': record['time'].isoformat(timespec='milliseconds'),
         'level': record['level'].name,
         'module': record['name'],
-        'message': _clean(record['message']),
+        'message': _sanitize(record['message']),
     }
     for name, value in record['extra'].items():
-        line[name] = _clean_field(name, value)
+        line[name] = _sanitize_field(name, value)
     error = record['exception']
     if error is not None:
-        # Formatted here, without values of variables: loguru's own
-        # formatter may print them, and a key would be among them.
+        # Formatted here, as loguru's formatter may print the values of
+        # variables, which can contain keys.
         text = ''.join(traceback.format_exception(*error))
-        line['exception'] = redact(text)[-MAX_TEXT:]
+        line['exception'] = redact(text)[-MAX_TEXT_CHARS:]
     return json.dumps(line, default=str) + '\n'
 
 
 class Stream(typing.Protocol):
-    """What lines are written to."""
+    """A destination of log lines."""
 
     def write(self, line: str, /) -> typing.Any:
-        """Take one line."""
+        """Write one line."""
 
     def flush(self) -> None:
-        """Hand on what was taken."""
+        """Flush the written lines."""
 
 
-class _Sink:
-    """Write each record as a line to a stream."""
+class _JsonSink:
+    """Write each loguru record to a stream as a JSON line."""
 
     def __init__(self, stream: Stream) -> None:
         self._stream = stream
@@ -115,8 +115,8 @@
         self._stream.flush()
 
 
-class _Forward(logging.Handler):
-    """Hand what libraries log over to our sink."""
+class _LibraryLogHandler(logging.Handler):
+    """Forward records of the logging module to loguru."""
 
     def emit(self, record: logging.LogRecord) -> None:
         """See logging.Handler."""
@@ -130,10 +130,12 @@
     error: BaseException,
     trace: types.TracebackType | None,
 ) -> None:
-    """Log what ends the process; the interpreter would print it as text."""
+    """Log an uncaught exception as JSON instead of printing it."""
     if issubclass(kind, KeyboardInterrupt):
         return
-    loguru.logger.opt(exception=(kind, error, trace)).critical('crashed')
+    loguru.logger.opt(exception=(kind, error, trace)).critical(
+        'uncaught exception'
+    )
 
 
 def setup(
@@ -144,11 +146,11 @@
 ) -> None:
     """Send the process's logs to a stream, standard error by default.
 
-    Warnings of libraries and what ends the process go there too, so that
-    nothing is written beside the sink and its redaction.
+    Warnings of libraries and uncaught exceptions go there too, so that
+    they are redacted as well.
 
-    Call it once, first in main. Bind further fields of FIELDS where they
-    are known: ``loguru.logger.bind(request_id=...).info('...')`` or
+    Call it once at the start of main. Bind further fields of FIELDS where
+    they are known: ``loguru.logger.bind(request_id=...).info('...')`` or
     ``with loguru.logger.contextualize(...)``.
     """
     loguru.logger.remove()
@@ -156,12 +158,14 @@
         extra={'vm': vm_name, 'failure_domain': failure_domain}
     )
     loguru.logger.add(
-        _Sink(stream or sys.stderr),
+        _JsonSink(stream or sys.stderr),
         level=level,
         format='{message}',
         backtrace=False,
         diagnose=False,
         catch=True,
     )
-    logging.basicConfig(handlers=[_Forward()], level=LIBRARY_LEVEL, force=True)
+    logging.basicConfig(
+        handlers=[_LibraryLogHandler()], level=LIBRARY_LEVEL, force=True
+    )
     sys.excepthook = _log_crash
--- a/gentianstair/util/serving.py
+++ b/gentianstair/util/serving.py
@@ -1,4 +1,4 @@
-"""Serve an application on listening sockets until it is stopped."""
+"""Serve an ASGI application on a listening socket until shutdown."""
 
 import collections.abc
 import contextlib
@@ -27,28 +27,28 @@
 from gentianstair.generated import events as log_events
 from gentianstair.util import addresses
 from gentianstair.util import connections
-from gentianstair.util import endings
+from gentianstair.util import end_reasons
 from gentianstair.util import http1
-from gentianstair.util import idleness
+from gentianstair.util import idle_timeout
 
 BACKLOG = 4096
 MAX_HEADER_BYTES = 32768
 KEEP_ALIVE_S = 75.0
-# Of the keep-alive time, told to callers: the rest is for a request of theirs
-# that is on its way by then.
-KEEP_ALIVE_TOLD_SHARE = 0.9
-# Longest wait of one part of an answer for a caller to take it.
+# Share of the keep-alive time that responses advertise. The rest leaves time
+# for a request to arrive that was sent just before the advertised end.
+ADVERTISED_KEEP_ALIVE_SHARE = 0.9
+# Longest wait for a caller to take one chunk of a response.
 SEND_STALL_S = 10.0
-SEND_PART_BYTES = 65536
-# Kept small, or a caller that reads slowly would have megabytes to take
-# before the kernel lets the next part in, and look as if it had stopped.
+SEND_CHUNK_BYTES = 65536
+# With a large kernel buffer a slow caller would have to read megabytes before
+# the next chunk fits, and would look stalled.
 SEND_BUFFER_BYTES = 131072
 
 
 def listen(address: str, reuse_port: bool = False) -> socket.socket:
-    """Return a listening socket; raise UserError if it can't be had.
+    """Return a listening socket; raise UserError if binding fails.
 
-    With reuse_port several processes of a VM share the address.
+    With reuse_port several processes on a VM can share the address.
     """
     host, port = addresses.parse(address)
     family = socket.AF_INET6 if ':' in host else socket.AF_INET
@@ -74,18 +74,18 @@
 
 
 def _is_readable(sock: trio.socket.SocketType) -> bool:
-    """Return whether bytes or an end came that nobody has read."""
+    """Return whether there is unread data or an unread end of stream."""
     poll = select.poll()
     poll.register(sock, select.POLLIN)
     return bool(poll.poll(0))
 
 
-class _Server(tcp_server.TCPServer):
-    """A connection that its own reader ends, and whose writes are cheap.
+class _ConnectionServer(tcp_server.TCPServer):
+    """Serves one connection; it bounds writes and closes when idle.
 
-    The library's own write takes a lock and a shielded scope each time, a
-    third of what a relayed token costs, and waits without limit for a
-    caller that has stopped reading, which would hold an engine's slot.
+    Hypercorn's own write takes a lock and a shielded cancel scope each
+    time, which is costly per relayed token. It also waits without limit for
+    a caller that has stopped reading, which would keep an engine slot busy.
     """
 
     send_stall_s = SEND_STALL_S
@@ -104,28 +104,30 @@
         state = {**state, connections.STATE_KEY: self.connection}
         super().__init__(app, config, worker, state, stream)
         self._grace = grace
-        self._idleness = idleness.Idleness(config.kept_s, trio.current_time())
+        self._idle_timer = idle_timeout.IdleTimeout(
+            config.idle_timeout_s, trio.current_time()
+        )
         self._reader_scope = trio.CancelScope()
         self._receive_scope = trio.CancelScope()
         self._send_scope = trio.CancelScope()
 
     def stop(self) -> None:
-        """End as soon as no request is under way, or with the grace."""
-        self._idleness.stop(trio.current_time())
-        self._receive_scope.deadline = self._idleness.end_s
+        """Close once no request is in flight, or when the grace expires."""
+        self._idle_timer.stop(trio.current_time())
+        self._receive_scope.deadline = self._idle_timer.deadline_s
         self._send_scope.deadline = min(
             self._send_scope.deadline, self._grace.deadline
         )
 
     async def _idle_timeout(self) -> None:
-        """Leave the end of an idle connection to the task that reads.
+        """Disable Hypercorn's idle timeout; the reader task handles it.
 
-        A task beside it may come to close in the same turn of the event
-        loop in which a request is read and handed to the application.
+        A separate task could close the connection in the same turn of the
+        event loop in which a request is read and passed to the application.
         """
 
     async def _read_data(self) -> None:
-        """Read until the caller sends no more or is idle for too long."""
+        """Read until the caller closes or the idle timeout expires."""
         protocol = self.protocol.protocol
         if isinstance(protocol, h11_protocol.H11Protocol):
             protocol.connection = http1.ServerConnection(
@@ -140,49 +142,52 @@
         await self.protocol.handle(events.Closed())
 
     async def _receive(self) -> bytes | None:
-        """Return what came, nothing at its end, None if none can come."""
+        """Return data, b'' at the end of the stream, None if closed."""
         while True:
             self._receive_scope = trio.CancelScope(
-                deadline=self._idleness.end_s
+                deadline=self._idle_timer.deadline_s
             )
             with self._receive_scope:
                 return await self._receive_some()
-            if self._idleness.is_over(trio.current_time()) and self._leave():
+            if (
+                self._idle_timer.has_expired(trio.current_time())
+                and self._end_reading_if_idle()
+            ):
                 return None
 
     async def _receive_some(self) -> bytes | None:
         try:
             data = await self.stream.receive_some(tcp_server.MAX_RECV)
         except trio.BrokenResourceError:
-            self.connection.note(connections.End.CALLER_RESET)
+            self.connection.note_end(connections.EndReason.CALLER_RESET)
             return None
         except trio.ClosedResourceError:
-            # Closed here; noted where that was decided.
+            # Closed by this process, which has noted the reason.
             return None
         if not data:
-            self.connection.note(connections.End.CALLER_ENDED)
+            self.connection.note_end(connections.EndReason.CALLER_CLOSED)
         return bytes(data)
 
-    def _leave(self) -> bool:
-        """Read no further if nothing came; return whether that is so.
+    def _end_reading_if_idle(self) -> bool:
+        """Stop reading if there is no unread data; return whether stopped.
 
-        Nothing may be awaited here: what comes in between would be lost.
+        Must not await: data that arrives after the test would be lost.
         """
-        sock = self._socket()
+        sock = self._raw_socket()
         if _is_readable(sock):
-            self._idleness.wait_arrival(trio.current_time())
+            self._idle_timer.expect_request(trio.current_time())
             return False
-        self.connection.note(
-            connections.End.STOP
+        self.connection.note_end(
+            connections.EndReason.STOP
             if self.context.terminated.is_set()
-            else connections.End.KEEP_ALIVE_OVER
+            else connections.EndReason.KEEP_ALIVE_EXPIRED
         )
         with contextlib.suppress(OSError):
-            # The caller learns at once that it has to connect anew.
+            # Tells the caller at once that the connection is closed.
             sock.shutdown(socket.SHUT_WR)
         return True
 
-    def _socket(self) -> trio.socket.SocketType:
+    def _raw_socket(self) -> trio.socket.SocketType:
         if isinstance(self.stream, trio.SSLStream):
             return self.stream.transport_stream.socket
         return self.stream.socket
@@ -193,41 +198,46 @@
         try:
             await super().run()
         except BaseException as error:
-            self.connection.fail(endings.why_raised(error, self._grace))
+            self.connection.note_failure(
+                end_reasons.reason_for_error(error, self._grace)
+            )
             raise
         else:
-            # Stands where it was broken before it could be read.
-            self.connection.note(
-                connections.End.NO_HANDSHAKE
+            # Applies if the connection broke before the first read.
+            self.connection.note_end(
+                connections.EndReason.HANDSHAKE_FAILED
                 if self._fd is None
-                else connections.End.CALLER_RESET
+                else connections.EndReason.CALLER_RESET
             )
         finally:
-            self.connection.tell()
+            self.connection.report()
 
     def _note_progress(self, event: events.Updated) -> None:
-        """Note a new request or a whole answer."""
+        """Note a new request or a complete response."""
         if event.idle:
-            self.connection.answered()
-            self._idleness.rest(trio.current_time())
+            self.connection.note_responses_sent()
+            self._idle_timer.response_sent(trio.current_time())
         else:
-            self.connection.read()
-            self._idleness.begin()
-        self._receive_scope.deadline = self._idleness.end_s
+            self.connection.note_head()
+            self._idle_timer.request_started()
+        self._receive_scope.deadline = self._idle_timer.deadline_s
 
     def _note_idle_http2(self) -> None:
-        """Note that no stream is left; the library tells of answers only."""
+        """Start the idle period if no HTTP/2 stream is open.
+
+        Hypercorn reports completed responses, but not reset streams.
+        """
         protocol = self.protocol.protocol
         if isinstance(protocol, h2_protocol.H2Protocol) and protocol.idle:
-            self._idleness.rest(trio.current_time())
-            self._receive_scope.deadline = self._idleness.end_s
+            self._idle_timer.response_sent(trio.current_time())
+            self._receive_scope.deadline = self._idle_timer.deadline_s
 
     def _note_closing(self) -> None:
-        """Note why the protocol closes."""
-        end = endings.why_closing(self.protocol.protocol)
-        if end in endings.AFTER_ANSWER:
-            self.connection.answered()
-        self.connection.note(end)
+        """Note why the protocol closes the connection."""
+        end = end_reasons.reason_for_close(self.protocol.protocol)
+        if end in end_reasons.AFTER_RESPONSE:
+            self.connection.note_responses_sent()
+        self.connection.note_end(end)
 
     async def protocol_send(self, event: events.Event) -> None:
         if isinstance(event, events.Updated):
@@ -235,13 +245,13 @@
             return
         if isinstance(event, events.Closed):
             self._note_closing()
-            # Quart cancels its request once the answer has been sent, and
-            # with it what follows in the same task: the connection would
-            # not be closed, and stay open.
-            until_s = self._send_until_s()
-            with trio.CancelScope(deadline=until_s, shield=True):
+            # Quart cancels a request's task once the response is sent.
+            # Without the shield this close would be cancelled with it, and
+            # the connection would stay open.
+            deadline_s = self._send_deadline_s()
+            with trio.CancelScope(deadline=deadline_s, shield=True):
                 await super().protocol_send(event)
-            # It may wait behind this answer to read the next request.
+            # The reader may be waiting for this response to be complete.
             self._reader_scope.cancel()
             return
         data = event.data
@@ -251,63 +261,65 @@
             await self._write_all(data)
 
     def _write_now(self, data: bytes) -> int:
-        """Return how much the kernel took at once."""
+        """Write without waiting; return the number of bytes taken."""
         if self.stream.socket.fileno() < 0:
-            # Closed meanwhile; its number may belong to another socket.
+            # Already closed; the descriptor may belong to another socket.
             return 0
         try:
             return os.write(self._fd, data)
         except OSError:
-            # Full, or broken: the ordinary way waits, or reports it.
+            # Full or broken: ``_write_all`` waits for it or notes the error.
             return 0
 
     async def _write_all(self, data: bytes) -> None:
         async with self.send_lock:
-            end = connections.End.SEND_STALL
+            end = connections.EndReason.SEND_STALL
             try:
-                taken = await self._write_parts(data)
+                is_taken = await self._write_chunks(data)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
-                # Where it was closed here, that was noted before.
-                taken = False
-                end = connections.End.CALLER_RESET
-        if not taken:
-            self.connection.cut(end)
-            # Cut off in the middle, the answer cannot go on. Closing also
-            # tells the application that the caller has gone.
+                # If this process closed it, the reason is already noted.
+                is_taken = False
+                end = connections.EndReason.CALLER_RESET
+        if not is_taken:
+            self.connection.note_abort(end)
+            # A partly written response cannot be continued. The Closed
+            # event tells the application that the caller has disconnected.
             await trio.aclose_forcefully(self.stream)
             await self.protocol.handle(events.Closed())
             self._reader_scope.cancel()
 
-    def _send_until_s(self) -> float:
-        """Return how long a caller may take to read what is sent now."""
-        until_s = trio.current_time() + self.send_stall_s
-        return min(until_s, self._grace.deadline)
-
-    async def _write_parts(self, data: bytes) -> bool:
-        """Return whether the caller took each part in time."""
-        for start in range(0, len(data), SEND_PART_BYTES):
-            until_s = self._send_until_s()
-            self._send_scope = trio.CancelScope(deadline=until_s, shield=True)
+    def _send_deadline_s(self) -> float:
+        """Return the deadline for the caller to take the next chunk."""
+        deadline_s = trio.current_time() + self.send_stall_s
+        return min(deadline_s, self._grace.deadline)
+
+    async def _write_chunks(self, data: bytes) -> bool:
+        """Return whether the caller took each chunk in time."""
+        for start in range(0, len(data), SEND_CHUNK_BYTES):
+            deadline_s = self._send_deadline_s()
+            self._send_scope = trio.CancelScope(
+                deadline=deadline_s, shield=True
+            )
             with self._send_scope:
                 await self.stream.send_all(
-                    data[start : start + SEND_PART_BYTES]
+                    data[start : start + SEND_CHUNK_BYTES]
                 )
             if self._send_scope.cancelled_caught:
                 return False
         return True
 
 
-async def _run_contained(server: _Server) -> None:
-    """Serve a connection; a fault in it ends no other one.
+async def _run_isolated(server: _ConnectionServer) -> None:
+    """Serve a connection, and log its errors instead of raising them.
 
-    The library raises on bytes that it did not expect, and all connections
-    share a nursery: raised further it would cut every answer under way.
+    Hypercorn raises on some unexpected input. All connections share a
+    nursery, so a raised error would cancel every response in flight.
     """
     try:
         await server.run()
     except* Exception:
         loguru.logger.bind(event=log_events.FAULT).exception(
-            'a connection failed inside this process'
+            'unexpected error while serving a connection'
         )
 
 
@@ -321,23 +333,23 @@
 
 
 class _Config(hypercorn.config.Config):
-    """The library's settings, and what it says with each answer."""
+    """Hypercorn settings that add a keep-alive header to responses."""
 
-    least_keep_alive_s: collections.abc.Callable[[], float] | None = None
+    min_keep_alive_s: collections.abc.Callable[[], float] | None = None
 
-    def kept_s(self) -> float:
-        """Return how long a connection without a request is kept now."""
-        if self.least_keep_alive_s is None:
+    def idle_timeout_s(self) -> float:
+        """Return how long an idle connection is kept at present."""
+        if self.min_keep_alive_s is None:
             return self.keep_alive_timeout
-        return max(self.keep_alive_timeout, self.least_keep_alive_s())
+        return max(self.keep_alive_timeout, self.min_keep_alive_s())
 
     def response_headers(self, protocol: str) -> list[tuple[bytes, bytes]]:
-        """Return the headers that each answer bears, by its protocol."""
+        """Return the headers that the server adds to each response."""
         headers = super().response_headers(protocol)
-        told_s = int(KEEP_ALIVE_TOLD_SHARE * self.kept_s())
-        if protocol == 'h11' and told_s:
-            # A caller that comes back in time meets no close of ours.
-            headers.append((b'keep-alive', b'timeout=%d' % told_s))
+        advertised_s = int(ADVERTISED_KEEP_ALIVE_SHARE * self.idle_timeout_s())
+        if protocol == 'h11' and advertised_s:
+            # Callers that reuse a connection in time avoid a racing close.
+            headers.append((b'keep-alive', b'timeout=%d' % advertised_s))
         return headers
 
 
@@ -362,82 +374,85 @@
     context: ssl.SSLContext | None = None,
     send_stall_s: float = SEND_STALL_S,
     keep_alive_s: float | None = None,
-    least_keep_alive_s: collections.abc.Callable[[], float] | None = None,
+    min_keep_alive_s: collections.abc.Callable[[], float] | None = None,
 ) -> None:
-    """Serve until shutdown returns, then until running answers ended.
+    """Serve until shutdown returns, then finish the responses in flight.
 
-    A caller that takes no part of its answer for send_stall_s is cut off, a
-    connection without a request for keep_alive_s is closed. Without
-    keep_alive_s that is the default, or least_keep_alive_s if it is longer.
+    After graceful_timeout_s the remaining connections are closed. So are,
+    at any time, connections whose caller takes no data for send_stall_s,
+    and connections that are idle for keep_alive_s. Without keep_alive_s its
+    default applies, or the result of min_keep_alive_s if that is longer.
     """
     config = _make_config(graceful_timeout_s, keep_alive_s or KEEP_ALIVE_S)
     if keep_alive_s is None:
-        config.least_keep_alive_s = least_keep_alive_s
-    # Of all connections; its deadline is the end of the grace.
+        config.min_keep_alive_s = min_keep_alive_s
+    # Covers all connections; its deadline ends the grace period.
     grace = trio.CancelScope()
-    wrapped = app_wrappers.ASGIWrapper(endings.note_requests(app, grace))
+    wrapped = app_wrappers.ASGIWrapper(end_reasons.track_requests(app, grace))
     state: dict[str, typing.Any] = {}
-    life = lifespan.Lifespan(wrapped, config, state)
+    app_lifespan = lifespan.Lifespan(wrapped, config, state)
     worker = worker_context.WorkerContext(None)
-    servers: set[_Server] = set()
+    servers: set[_ConnectionServer] = set()
 
-    async def handle(stream: trio.abc.Stream) -> None:
-        server = _Server(wrapped, config, worker, state, stream, grace)
+    async def serve_connection(stream: trio.abc.Stream) -> None:
+        server = _ConnectionServer(
+            wrapped, config, worker, state, stream, grace
+        )
         server.send_stall_s = send_stall_s
         if worker.terminated.is_set():
             server.stop()
         servers.add(server)
         try:
-            await _run_contained(server)
+            await _run_isolated(server)
         finally:
             servers.discard(server)
 
-    async with trio.open_nursery() as life_nursery:
-        await life_nursery.start(life.handle_lifespan)
-        await life.wait_for_startup()
+    async with trio.open_nursery() as lifespan_nursery:
+        await lifespan_nursery.start(app_lifespan.handle_lifespan)
+        await app_lifespan.wait_for_startup()
         with grace:
-            async with trio.open_nursery() as callers:
+            async with trio.open_nursery() as connection_nursery:
                 listener = _make_listener(sock, context)
-                async with trio.open_nursery() as accepting:
-                    accepting.start_soon(
+                async with trio.open_nursery() as accept_nursery:
+                    accept_nursery.start_soon(
                         functools.partial(
                             trio.serve_listeners,
-                            handle,
+                            serve_connection,
                             [listener],
-                            handler_nursery=callers,
+                            handler_nursery=connection_nursery,
                         )
                     )
                     await shutdown()
-                    accepting.cancel_scope.cancel()
-                # Idle connections close now, busy ones after their answer.
+                    accept_nursery.cancel_scope.cancel()
+                # Idle connections close now, others after their response.
                 await worker.terminated.set()
                 grace.deadline = trio.current_time() + graceful_timeout_s
                 for server in servers:
                     server.stop()
-        await life.wait_for_shutdown()
-        life_nursery.cancel_scope.cancel()
+        await app_lifespan.wait_for_shutdown()
+        lifespan_nursery.cancel_scope.cancel()
 
 
-def catch_stop() -> trio.Event:
-    """Return what is set when this process is asked to stop.
+def watch_stop_signals() -> trio.Event:
+    """Return an event that SIGTERM or SIGINT sets.
 
-    A second SIGTERM changes nothing: answers are still under way. A second
-    SIGINT ends the process at once.
+    A second SIGTERM has no effect, as the process is already draining. A
+    second SIGINT ends the process at once.
     """
-    asked = trio.Event()
+    stop_requested = trio.Event()
     token = trio.lowlevel.current_trio_token()
 
-    def note(signum: int, _: types.FrameType | None) -> None:
+    def on_signal(signum: int, _: types.FrameType | None) -> None:
         if signum == signal.SIGINT:
             signal.signal(signal.SIGINT, signal.SIG_DFL)
         with contextlib.suppress(trio.RunFinishedError):
-            token.run_sync_soon(asked.set, idempotent=True)
+            token.run_sync_soon(stop_requested.set, idempotent=True)
 
     for signum in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(signum, note)
-    return asked
+        signal.signal(signum, on_signal)
+    return stop_requested
 
 
-async def wait_for_stop() -> None:
-    """Return when this process is asked to stop."""
-    await catch_stop().wait()
+async def wait_for_stop_signal() -> None:
+    """Wait for SIGTERM or SIGINT."""
+    await watch_stop_signals().wait()
--- a/gentianstair/util/tls.py
+++ b/gentianstair/util/tls.py
@@ -1,4 +1,4 @@
-"""Make TLS contexts from files and renew them when the files change."""
+"""Create TLS contexts from files, and reload them when files change."""
 
 import ipaddress
 import pathlib
@@ -14,16 +14,19 @@
 RELOAD_INTERVAL_S = 5.0
 
 
-class Files(typing.NamedTuple):
-    """The PEM files of one side; ``ca`` is empty unless peers are checked."""
+class CertificateFiles(typing.NamedTuple):
+    """Paths of PEM files; ``ca`` is empty if peers are not verified."""
 
     cert: str
     key: str
     ca: str = ''
 
 
-def check_files(files: Files, what: str) -> bool:
-    """Return whether TLS is on; raise SettingsError if files are missing."""
+def is_enabled(files: CertificateFiles, what: str) -> bool:
+    """Return whether TLS is on.
+
+    Raise SettingsError if only one of certificate and key is given.
+    """
     if not any(files):
         return False
     if not files.cert or not files.key:
@@ -33,11 +36,11 @@
     return True
 
 
-def check_plain(address: str, allowed: bool, flag: str) -> None:
-    """Raise SettingsError unless plain connections may use an address.
+def check_plaintext_allowed(address: str, allowed: bool, flag: str) -> None:
+    """Raise SettingsError unless an address may be used without TLS.
 
-    Without TLS a caller's key could be read on the way, so only loopback is
-    served plain, or any address by the explicit ``--insecure-plain``.
+    A caller's key could be read in transit, so this is limited to loopback
+    unless ``--insecure-plain`` is given.
     """
     host, _ = addresses.parse(address)
     if allowed or host == 'localhost':
@@ -53,22 +56,22 @@
     )
 
 
-def _load(context: ssl.SSLContext, files: Files) -> ssl.SSLContext:
+def _load(context: ssl.SSLContext, files: CertificateFiles) -> ssl.SSLContext:
     context.options |= ssl.OP_NO_COMPRESSION | ssl.OP_NO_RENEGOTIATION
     try:
         context.load_cert_chain(files.cert, files.key)
         if files.ca:
             context.load_verify_locations(files.ca)
     except OSError as error:
-        # ssl.SSLError is an OSError too. Its text names no file.
+        # This includes ssl.SSLError, whose message does not name the file.
         raise errors.SettingsError(
             f'{", ".join(filter(None, files))}: not usable; {error}'
         ) from error
     return context
 
 
-def make_server_context(files: Files) -> ssl.SSLContext:
-    """Return a context that serves; it asks for certificates if ca is set.
+def make_server_context(files: CertificateFiles) -> ssl.SSLContext:
+    """Return a server context; with ``ca`` it requires client certificates.
 
     Raise SettingsError if a file cannot be used.
     """
@@ -77,21 +80,20 @@
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     if files.ca:
         context.verify_mode = ssl.CERT_REQUIRED
-        # A resumed session is not verified again, so a peer whose authority
-        # was withdrawn could come back with a ticket of before.
+        # Resumed sessions are not verified again, so without this a peer
+        # could reconnect with a ticket after its authority was removed.
         context.num_tickets = 0
         context.options |= ssl.OP_NO_TICKET
         context.minimum_version = ssl.TLSVersion.TLSv1_3
     return _load(context, files)
 
 
-def make_client_context(files: Files) -> ssl.SSLContext:
-    """Return a context that connects to peers and shows a certificate.
+def make_client_context(files: CertificateFiles) -> ssl.SSLContext:
+    """Return a client context for peers, with a client certificate.
 
-    A peer is known by the authority that signed its certificate, not by a
-    name: VMs are replaced and addressed by IP number, and whoever holds a
-    certificate of the private authority is of the fleet. Raise
-    SettingsError if a file cannot be used.
+    Peers are authenticated by the private authority that signed their
+    certificate, not by host name, as VMs are replaced and addressed by IP
+    address. Raise SettingsError if a file cannot be used.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname = False
@@ -100,8 +102,10 @@
     return _load(context, files)
 
 
-def _stamp(files: Files) -> tuple[tuple[int, int, int], ...]:
-    """Return what changes when a file is written or replaced."""
+def _file_versions(
+    files: CertificateFiles,
+) -> tuple[tuple[int, int, int], ...]:
+    """Return file attributes that change when a file is replaced."""
     found = []
     for name in filter(None, files):
         stat = pathlib.Path(name).stat()
@@ -110,78 +114,77 @@
 
 
 class Credentials:
-    """The contexts of one set of files, made again when the files change.
-
-    ``server`` stays the same object, so that it can be given to a listener
-    once; it hands each new connection to the newest context. Loading new
-    files into a context in use would not do: a certificate of another key
-    type and a withdrawn authority would both stay in it. ``client`` is to
-    be read for each connection; it is None when there is no authority to
-    check a server with.
+    """TLS contexts of one set of files, replaced when the files change.
+
+    ``server`` stays the same object, so that a listener can keep it; it
+    switches each new connection to the current context. Files are not
+    loaded into an existing context, as a certificate of another key type or
+    a removed authority would stay in it. Read ``client`` for each new
+    connection; it is None without an authority to verify servers with.
     """
 
-    def __init__(self, files: Files) -> None:
+    def __init__(self, files: CertificateFiles) -> None:
         self.files = files
-        self._stamp = _stamp(files)
+        self._versions = _file_versions(files)
         self.server = make_server_context(files)
-        self.server.sni_callback = self._choose
-        self._newest = self.server
+        self.server.sni_callback = self._switch_context
+        self._current = self.server
         self.client = make_client_context(files) if files.ca else None
 
-    def _choose(
+    def _switch_context(
         self, connection: ssl.SSLObject, name: str | None, _: ssl.SSLContext
     ) -> None:
-        """Move a connection that says hello to the newest context."""
-        connection.context = self._newest
+        """Switch a new connection to the current context."""
+        connection.context = self._current
 
-    def check(self) -> bool:
-        """Take up changed files; return whether there were any.
+    def reload_if_changed(self) -> bool:
+        """Reload the files if they changed; return whether they did.
 
-        Between the writes of two files the pair does not match, or one is
-        cut short. It then fails to load, the old contexts stay in use and
-        the files are tried again at the next check.
+        While the files are being replaced, one may be incomplete or not
+        match the other. Loading then fails, the old contexts stay in use,
+        and the next call tries again.
         """
         try:
-            stamp = _stamp(self.files)
-            if stamp == self._stamp:
+            versions = _file_versions(self.files)
+            if versions == self._versions:
                 return False
             server = make_server_context(self.files)
             client = make_client_context(self.files) if self.files.ca else None
         except (OSError, errors.SettingsError) as error:
             loguru.logger.warning('certificate not renewed: {}', error)
             return False
-        self._newest, self.client, self._stamp = server, client, stamp
+        self._current, self.client, self._versions = server, client, versions
         loguru.logger.info('certificate renewed from {}', self.files.cert)
         return True
 
-    async def run(self, interval_s: float = RELOAD_INTERVAL_S) -> None:
-        """Check forever."""
+    async def watch_files(self, interval_s: float = RELOAD_INTERVAL_S) -> None:
+        """Reload changed files periodically, forever."""
         while True:
             await trio.sleep(interval_s)
-            self.check()
+            self.reload_if_changed()
 
 
 def make_caller_credentials(
     cert: str, key: str, listen: str, insecure_plain: bool
 ) -> Credentials | None:
-    """Return what callers are served with, or None if TLS is off.
+    """Return the credentials for serving callers, or None without TLS.
 
-    Raise SettingsError if a file is missing or cannot be used, or if TLS is
-    off where only loopback may be served plain.
+    Raise SettingsError if a file is missing or cannot be used, or if the
+    address must not be served without TLS.
     """
-    files = Files(cert, key)
-    if check_files(files, '--tls-cert-file, --tls-key-file'):
+    files = CertificateFiles(cert, key)
+    if is_enabled(files, '--tls-cert-file, --tls-key-file'):
         return _make(files)
-    check_plain(listen, insecure_plain, '--listen')
+    check_plaintext_allowed(listen, insecure_plain, '--listen')
     return None
 
 
-def make_peer_credentials(files: Files) -> Credentials | None:
-    """Return what peers meet each other with, or None if TLS is off.
+def make_peer_credentials(files: CertificateFiles) -> Credentials | None:
+    """Return the credentials for peer connections, or None without TLS.
 
     Raise SettingsError if a file is missing or cannot be used.
     """
-    if not check_files(files, '--peer-tls-cert-file, --peer-tls-key-file'):
+    if not is_enabled(files, '--peer-tls-cert-file, --peer-tls-key-file'):
         return None
     if not files.ca:
         raise errors.SettingsError(
@@ -190,7 +193,7 @@
     return _make(files)
 
 
-def _make(files: Files) -> Credentials:
+def _make(files: CertificateFiles) -> Credentials:
     try:
         return Credentials(files)
     except OSError as error:
--- a/test/entry/test_cut_connections.py
+++ b/test/entry/test_cut_connections.py
@@ -1,17 +1,15 @@
 """Test which side an entry records as closing a connection."""
 
-import time
-import types
-
-import pytest
-import trio
-
 from gentianstair.core import exchange as exchanges
 from gentianstair.entry import explain
 from gentianstair.entry import handler as handlers
 from gentianstair.util import connections
+import pytest
+import time
+import trio
+import types
 
-End = connections.End
+EndReason = connections.EndReason
 
 
 async def raise_disconnected(_):
@@ -27,7 +25,7 @@
     [
         (
             raise_disconnected,
-            End.CALLER_RESET,
+            EndReason.CALLER_RESET,
             [('caller-gone', 'the caller hung up')],
             499,
         ),
@@ -39,13 +37,12 @@
         ),
         (
             raise_disconnected,
-            End.KEEP_ALIVE_OVER,
+            EndReason.KEEP_ALIVE_EXPIRED,
             [('closed-here', 'keep-alive-over')],
             444,
         ),
         (
-            raise_disconnected,
-            End.SEND_STALL,
+            raise_disconnected, EndReason.SEND_STALL,
             [('closed-here', 'send-stall')],
             444,
         ),
@@ -58,7 +55,7 @@
     # Guards against blaming callers for connections the server closed.
     connection = connections.Connection()
     if end is not None:
-        connection.note(end)
+        connection.note_end(end)
     scope = {
         'path': '/v1/completions',
         'method': 'POST',
--- a/test/peers/test_spread.py
+++ b/test/peers/test_store_watcher.py
@@ -1,4 +1,4 @@
-"""Test that configuration only moves forward, whoever answers late."""
+"""Test that configuration never reverts to an older version."""
 
 import random
 
@@ -6,7 +6,7 @@
 import trio
 
 from gentianstair.config import view as view_module
-from gentianstair.peers import spread
+from gentianstair.peers import store_watcher
 from gentianstair.store import store
 from gentianstair.util import clock
 from standins import memory_store
@@ -14,31 +14,31 @@
 from test.peers import fleet as fleet_module
 
 
-class PastStore(memory_store.MemoryStore):
-    """A store that answers, while past is set, from an old copy."""
+class StaleStore(memory_store.MemoryStore):
+    """A store that answers from stale_table while it is set."""
 
     def __init__(self, table):
         super().__init__(table)
-        self.past = None
+        self.stale_table = None
 
     async def list(self, kind, *, purpose, prefix=''):
         """See Store.list."""
         await self._enter(purpose)
-        return (self.past or self.table).list(kind, prefix)
+        return (self.stale_table or self.table).list(kind, prefix)
 
     async def watch(self, kinds, after_revision, timeout_s, *, purpose):
         """See Store.watch."""
         await self._enter(purpose)
-        table = self.past or self.table
+        table = self.stale_table or self.table
         return await table.watch(kinds, after_revision, timeout_s)
 
 
 def copy_table(table):
-    made = objects.ObjectTable()
-    made.revision = table.revision
-    made.objects = dict(table.objects)
-    made.changes = list(table.changes)
-    return made
+    copy = objects.ObjectTable()
+    copy.revision = table.revision
+    copy.objects = dict(table.objects)
+    copy.changes = list(table.changes)
+    return copy
 
 
 def bundle(number):
@@ -59,11 +59,10 @@
 @pytest.mark.promise
 @pytest.mark.parametrize('seed', [1, 2, 3])
 async def test_accepted_bundle_never_reverts(autojump_clock, seed):
-    """Callers get an old bundle again some time after a rollout.
+    """A VM serves an old bundle again after a rollout.
 
-    Bundles are accepted while VMs restart, lose their peers or the store,
-    and while the store answers some of them from the past. No VM that
-    serves may ever go back, and none may stay behind.
+    Bundles are accepted while VMs restart and lose their peers or the
+    store. No VM that serves may go back, and in the end all have the newest.
     """
     rng = random.Random(seed)
     async with fleet_module.open_fleet(6, seed=seed) as fleet:
@@ -71,27 +70,30 @@
         numbers = iter(range(1, 1000))
 
         def check():
-            for name, one in fleet.running.items():
-                found = one.view.bundle()
-                if not one.node.is_fresh() or found is None:
+            for name, vm in fleet.running.items():
+                served_bundle = vm.view.bundle()
+                if not vm.node.is_fresh() or served_bundle is None:
                     continue
-                assert found['note'] == f'content {found["number"]}'
-                assert found['number'] >= served.get(name, 0)
-                served[name] = found['number']
+                assert (
+                    served_bundle['note']
+                    == f'content {served_bundle["number"]}'
+                )
+                assert served_bundle['number'] >= served.get(name, 0)
+                served[name] = served_bundle['number']
 
         accept(fleet, next(numbers))
         for _ in range(40):
             name = rng.choice(sorted(fleet.running))
-            act = rng.choice(['restart', 'cut', 'store', 'accept', 'heal'])
-            if act == 'restart':
+            action = rng.choice(['restart', 'cut', 'store', 'accept', 'heal'])
+            if action == 'restart':
                 fleet.kill(name)
                 fleet.start(name, 'abc'[int(name[1:]) % 3])
-            elif act == 'cut':
+            elif action == 'cut':
                 other = rng.choice(sorted(set(fleet.running) - {name}))
                 fleet.hub.cut(f'{name}:1', f'{other}:1', rng.random() < 0.5)
-            elif act == 'store':
-                fleet.set_store(rng.random() < 0.5, [name])
-            elif act == 'accept':
+            elif action == 'store':
+                fleet.set_store_down(rng.random() < 0.5, [name])
+            elif action == 'accept':
                 accept(fleet, next(numbers))
             else:
                 fleet.hub.heal()
@@ -99,56 +101,56 @@
                 await trio.sleep(0.1)
                 check()
         fleet.hub.heal()
-        fleet.set_store(False)
+        fleet.set_store_down(False)
         revision = accept(fleet, next(numbers))
         newest = next(numbers) - 1
         await fleet.wait(
-            lambda one: (
-                one.node.is_fresh() and one.view.bundle()['number'] == newest
+            lambda vm: (
+                vm.node.is_fresh() and vm.view.bundle()['number'] == newest
             )
         )
-        assert all(one.view.revision == revision for one in fleet.each())
+        assert all(vm.view.revision == revision for vm in fleet.select())
 
 
 def make_watcher(table):
     view = view_module.View()
-    past = PastStore(table)
-    watcher = spread.Watcher(
-        view, past, clock.trio_time_s, 2.0, random.Random(1)
+    stale_store = StaleStore(table)
+    watcher = store_watcher.Watcher(
+        view, stale_store, clock.trio_time_s, 2.0, random.Random(1)
     )
-    return view, past, watcher
+    return view, stale_store, watcher
 
 
 @pytest.mark.promise
-async def test_store_that_answers_from_the_past(autojump_clock):
-    """A revoked key works again once the store's replica lags.
+async def test_lagging_store_replica_restores_no_revoked_key(autojump_clock):
+    """A revoked key works again when a replica of the store lags.
 
-    A watcher that saw the revocation is sent to a replica from before it.
-    What it gets must neither change the view nor count as fresh.
+    A watcher that saw the revocation then reads from before it. The answer
+    must neither change the view nor count as fresh.
     """
     table = objects.ObjectTable()
     first = table.write('key', 'k1', fleet_module.key(), 0)
-    view, past, watcher = make_watcher(table)
+    view, stale_store, watcher = make_watcher(table)
     assert (await watcher.step())[1] is not None
-    past.past = copy_table(table)
+    stale_store.stale_table = copy_table(table)
     table.write('key', 'k1', fleet_module.key(revoked=True), first)
-    past.past, old = None, past.past
+    stale_store.stale_table, old_table = None, stale_store.stale_table
     await watcher.step()
     assert view.key('k1')['revoked']
-    past.past = old
+    stale_store.stale_table = old_table
     for restarted in (False, True):
         if restarted:
             watcher._cursor = None
-        taken, as_of_s = await watcher.step()
-        assert taken == [] and as_of_s is None
+        applied, as_of_s = await watcher.step()
+        assert applied == [] and as_of_s is None
         assert view.key('k1')['revoked']
 
 
-async def test_listing_shows_deletions_made_while_away(autojump_clock):
-    """A key deleted while a watcher was away works there for ever.
+async def test_listing_removes_keys_deleted_while_not_watching(autojump_clock):
+    """A key deleted while a watcher did not watch works there for ever.
 
-    The changes are no longer kept, so the watcher lists; a listing has no
-    entry for what was deleted.
+    The store no longer keeps the changes, so the watcher lists, and a
+    listing has no entry for a deleted key.
     """
     table = objects.ObjectTable()
     first = table.write('key', 'k1', fleet_module.key(), 0)
@@ -164,7 +166,7 @@
     assert view.customer('acme') is not None
 
 
-def test_late_and_lower_objects_are_ignored():
+def test_objects_of_older_versions_are_ignored():
     view = view_module.View()
     newer = store.StoredObject('key', 'k', 5, fleet_module.key(True))
     older = store.StoredObject('key', 'k', 4, fleet_module.key())
@@ -173,8 +175,8 @@
     assert view.key('k')['revoked']
 
 
-def test_pointer_to_a_lower_bundle_is_not_followed():
-    """An operator's script writes the pointer back to an older number."""
+def test_pointer_to_an_older_bundle_is_ignored():
+    """A pointer written back to an older number reverts the bundle."""
     view = view_module.View()
     for version, number in ((1, 1), (2, 2)):
         view.apply(
@@ -192,7 +194,7 @@
     assert view.bundle()['number'] == 2
 
 
-def test_value_of_a_wrong_shape_is_kept_but_not_used():
+def test_value_that_fails_its_schema_is_kept_but_not_used():
     view = view_module.View()
     view.apply([store.StoredObject('key', 'k', 1, {'customer': 7})])
     assert view.key('k') is None
