--- a/gentianstair/bench/node.py
+++ b/gentianstair/bench/node.py
@@ -25,7 +25,7 @@
 from gentianstair.peers import link
 from gentianstair.peers import node as node_module
 from gentianstair.peers import store_watcher
-from gentianstair.store import budget
+from gentianstair.store import call_budget
 from gentianstair.store import http_store
 from gentianstair.store import store
 from gentianstair.util import clock
@@ -164,7 +164,7 @@
         resident_bytes=_resident_bytes(),
         bytes=_sum(link.MESSAGE_BYTES, ('direction',)),
         bytes_by_type=_sum(link.MESSAGE_BYTES, ('direction', 'type')),
-        calls=_sum(budget.CALLS, ('purpose', 'call')),
+        calls=_sum(call_budget.CALLS, ('purpose', 'call')),
         revision=view.revision,
         fresh=node.is_fresh() if node else None,
         age_s=node.config_age_s() if node else None,
@@ -176,7 +176,7 @@
 async def follow_view(view: view_module.View) -> None:
     """Write each revision as it comes in force."""
     while True:
-        await view.wait_change()
+        await view.wait_for_change()
         say(type='revision', revision=view.revision)
 
 
@@ -212,7 +212,7 @@
     view = view_module.View()
     cut = Cut(near)
     inner = http_store.connect(settings.platform_url, settings.store_timeout_s)
-    client = budget.make_budget(
+    client = call_budget.make_budget_store(
         CutStore(inner, cut), settings, clock.boottime_s
     )
     node = None
--- a/gentianstair/config/bundles.py
+++ b/gentianstair/config/bundles.py
@@ -87,7 +87,7 @@
     }
 
 
-def make_key(path: pathlib.Path) -> str:
+def create_key_file(path: pathlib.Path) -> str:
     """Write a new private key that only its owner can read.
 
     Return the public key in hex. Raise UserError if the file exists.
@@ -103,10 +103,10 @@
         path.write_bytes(text)
     except OSError as error:
         raise errors.UserError(f'{path}: {error.strerror}') from error
-    return public_hex(key)
+    return public_key_hex(key)
 
 
-def load_key(path: pathlib.Path) -> ed25519.Ed25519PrivateKey:
+def load_private_key(path: pathlib.Path) -> ed25519.Ed25519PrivateKey:
     """Return the private key in a file; raise UserError if it has none."""
     try:
         key = serialization.load_pem_private_key(path.read_bytes(), None)
@@ -119,7 +119,7 @@
     return key
 
 
-def public_hex(key: ed25519.Ed25519PrivateKey) -> str:
+def public_key_hex(key: ed25519.Ed25519PrivateKey) -> str:
     """Return the public half of a key in hex."""
     return key.public_key().public_bytes_raw().hex()
 
@@ -134,7 +134,7 @@
     )
 
 
-def is_signed(bundle: messages.BundleValue, public_key: str) -> bool:
+def is_signed_by(bundle: messages.BundleValue, public_key: str) -> bool:
     """Return whether the holder of a public key, in hex, signed a bundle."""
     try:
         key = ed25519.Ed25519PublicKey.from_public_bytes(
--- a/gentianstair/config/snapshots.py
+++ b/gentianstair/config/snapshots.py
@@ -11,7 +11,7 @@
 from gentianstair.generated import messages
 from gentianstair.store import store
 
-FORMAT = 1
+FORMAT_VERSION = 1
 
 
 def encode(
@@ -29,7 +29,7 @@
     ]
     rows.sort(key=lambda row: (row['kind'], row['name']))
     value: messages.Snapshot = {
-        'format': FORMAT,
+        'format': FORMAT_VERSION,
         'taken_at': taken_at,
         'objects': rows,
     }
@@ -45,7 +45,7 @@
         raise errors.UserError('not a whole snapshot: its digest is wrong')
     try:
         value = msgspec.json.decode(body, type=messages.Snapshot)
-        if value['format'] != FORMAT:
+        if value['format'] != FORMAT_VERSION:
             raise errors.UserError(f'a snapshot of format {value["format"]}')
         for row in value['objects']:
             if row['kind'] not in views.VALUE_TYPES:
--- a/gentianstair/config/view.py
+++ b/gentianstair/config/view.py
@@ -12,7 +12,7 @@
 from gentianstair.store import store
 
 # Kinds that every node follows.
-KINDS = ('customer', 'key', 'bundle', 'accepted', 'upstream')
+WATCHED_KINDS = ('customer', 'key', 'bundle', 'accepted', 'upstream')
 VALUE_TYPES: dict[str, type] = {
     'customer': messages.CustomerValue,
     'key': messages.KeyValue,
@@ -22,12 +22,12 @@
 }
 # Parts of the configuration that two nodes compare by digest; one object
 # missed costs a 256th of the configuration to repair.
-BUCKETS = 256
+BUCKET_COUNT = 256
 
 
 def _bucket(item: store.StoredObject) -> int:
     text = f'{item.kind}/{item.name}'
-    return xxhash.xxh32_intdigest(text.encode()) % BUCKETS
+    return xxhash.xxh32_intdigest(text.encode()) % BUCKET_COUNT
 
 
 def _is_valid(item: store.StoredObject) -> bool:
@@ -62,7 +62,7 @@
         # Exclusive or of the digests of all objects, whole and by bucket,
         # kept up at each change so that comparing costs nothing.
         self.digest = 0
-        self.buckets = [0] * BUCKETS
+        self.buckets = [0] * BUCKET_COUNT
         # Objects whose value does not match the schema. They are kept and
         # passed on, as a newer peer may know better, but never used.
         self._invalid: set[tuple[str, str]] = set()
@@ -119,7 +119,7 @@
         bundle = typing.cast(messages.BundleValue, item.value)
         allowed = str(bundle['number']) == item.name and (
             not self._bundle_public_key
-            or bundles.is_signed(bundle, self._bundle_public_key)
+            or bundles.is_signed_by(bundle, self._bundle_public_key)
         )
         if not allowed:
             loguru.logger.error('bundle {} is not signed off', item.name)
@@ -136,14 +136,16 @@
         if found is not None:
             self._in_force = found
 
-    def differing(
+    def differing_objects(
         self, buckets: typing.Sequence[int]
     ) -> list[store.StoredObject]:
         """Return the objects in buckets whose digests are not as given.
 
         An empty sequence stands for a node that holds nothing.
         """
-        theirs = buckets if len(buckets) == BUCKETS else [0] * BUCKETS
+        theirs = (
+            buckets if len(buckets) == BUCKET_COUNT else [0] * BUCKET_COUNT
+        )
         wanted = {
             number
             for number, digest in enumerate(self.buckets)
@@ -154,7 +156,7 @@
         found = [i for i in self.objects.values() if _bucket(i) in wanted]
         return sorted(found, key=lambda item: item.version)
 
-    async def wait_change(self) -> None:
+    async def wait_for_change(self) -> None:
         """Return after the next change."""
         await self._changed.park()
 
@@ -165,7 +167,7 @@
             return None
         return item.value
 
-    def live(self, kind: str) -> list[store.StoredObject]:
+    def live_objects(self, kind: str) -> list[store.StoredObject]:
         """Return the objects of a kind that are not deleted."""
         return [
             item
@@ -173,11 +175,11 @@
             if item.kind == kind and item.value is not None
         ]
 
-    def names(self, kind: str) -> list[str]:
+    def valid_names(self, kind: str) -> list[str]:
         """Return the names of the live and valid objects of a kind."""
         return sorted(
             item.name
-            for item in self.live(kind)
+            for item in self.live_objects(kind)
             if (kind, item.name) not in self._invalid
         )
 
@@ -193,6 +195,6 @@
         """Return an upstream."""
         return self.value('upstream', name)
 
-    def bundle(self) -> messages.BundleValue | None:
+    def active_bundle(self) -> messages.BundleValue | None:
         """Return the bundle in force, or None before the first one."""
         return self._in_force
--- a/gentianstair/control/duties.py
+++ b/gentianstair/control/duties.py
@@ -54,7 +54,7 @@
 ) -> dict[str, messages.UpstreamValue]:
     """Return the engines of a failure domain by name."""
     engines = {}
-    for name in context.view.names('upstream'):
+    for name in context.view.valid_names('upstream'):
         value = typing.cast(
             messages.UpstreamValue, context.view.upstream(name)
         )
@@ -136,7 +136,7 @@
         return None
     # An engine also drains while it changes its role; undrain it only if its
     # last order was to drain.
-    last = await context.orders.last(url)
+    last = await context.orders.fetch_last(url)
     return 'undrain' if last['type'] == 'drain' else None
 
 
@@ -179,7 +179,7 @@
             )
     domains = {
         context.view.upstream(name)['failure_domain']
-        for name in context.view.names('upstream')
+        for name in context.view.valid_names('upstream')
     }
     for domain in sorted(domains):
         tasks[f'{ENGINES_PREFIX}{domain}'] = functools.partial(
--- a/gentianstair/control/engine_orders.py
+++ b/gentianstair/control/engine_orders.py
@@ -14,7 +14,7 @@
 from gentianstair import verdict
 from gentianstair.control import lease
 from gentianstair.generated import messages
-from gentianstair.store import settled
+from gentianstair.store import confirmed_write
 from gentianstair.store import store as stores
 from gentianstair.upstreams import orders_client
 from gentianstair.util import audit
@@ -57,8 +57,8 @@
     ) -> orders_client.Outcome:
         """See OrdersClient.send."""
 
-    async def last(self, url: str) -> messages.LastOrder:
-        """See OrdersClient.last."""
+    async def fetch_last(self, url: str) -> messages.LastOrder:
+        """See OrdersClient.fetch_last."""
 
 
 _ACCEPTED_OUTCOMES = (
@@ -147,9 +147,9 @@
                     )
         return outcome
 
-    async def last(self, url: str) -> messages.LastOrder:
+    async def fetch_last(self, url: str) -> messages.LastOrder:
         """Return the last order of the engine at url; raise UpstreamError."""
-        return await self._client.last(url)
+        return await self._client.fetch_last(url)
 
     async def _send(
         self,
@@ -201,11 +201,11 @@
         if last is None or last['state'] != 'intended':
             return record
         authority.check()
-        found = await self._client.last(engine.url)
+        found = await self._client.fetch_last(engine.url)
         while not _is_same_order(found, last):
             await trio.sleep(self._order_lifetime_s)
             authority.check()
-            again = await self._client.last(engine.url)
+            again = await self._client.fetch_last(engine.url)
             if again == found:
                 break
             found = again
@@ -232,7 +232,7 @@
         last = record.value
         if engine.checks_fencing or last is None or last['state'] != 'done':
             return
-        found = await self._client.last(engine.url)
+        found = await self._client.fetch_last(engine.url)
         if not _is_same_order(found, last):
             FOREIGN_ORDERS.inc()
             loguru.logger.error(
@@ -263,10 +263,10 @@
             'type': order.type,
             'argument': order.argument,
             'state': state,
-            'nonce': settled.new_nonce(),
+            'nonce': confirmed_write.new_nonce(),
             'change': entry_name or record.value['change'],
         }
-        version = await settled.put(
+        version = await confirmed_write.put(
             self._store,
             KIND,
             engine.name,
--- a/gentianstair/control/lease.py
+++ b/gentianstair/control/lease.py
@@ -12,7 +12,7 @@
 from gentianstair.control import rendezvous
 from gentianstair.generated import events
 from gentianstair.generated import messages
-from gentianstair.store import settled
+from gentianstair.store import confirmed_write
 from gentianstair.store import store as stores
 from gentianstair.util import clock as clocks
 
@@ -269,13 +269,13 @@
             'holder': holder,
             'epoch': authority.epoch,
             'duration_s': self._timing.duration_s,
-            'nonce': settled.new_nonce(),
+            'nonce': confirmed_write.new_nonce(),
         }
         # Validity counts from before the write is sent: a candidate counts
         # from when it saw the result, which is later.
         sent_at_s = self._clock()
         try:
-            authority.version = await settled.put(
+            authority.version = await confirmed_write.put(
                 self._store,
                 KIND,
                 authority.scope,
--- a/gentianstair/control/main.py
+++ b/gentianstair/control/main.py
@@ -20,12 +20,12 @@
 from gentianstair.control import upstream_orders
 from gentianstair.control import usage_sealer
 from gentianstair.generated import settings as generated
-from gentianstair.store import budget
+from gentianstair.store import call_budget
+from gentianstair.store import confirmed_write
 from gentianstair.store import http_store
-from gentianstair.store import orders as platform_orders
 from gentianstair.store import presence
-from gentianstair.store import reports
-from gentianstair.store import settled
+from gentianstair.store import upstream_order_sender as platform_orders
+from gentianstair.store import usage_report_sender
 from gentianstair.upstreams import orders_client
 from gentianstair.util import clock
 from gentianstair.util import serving
@@ -39,7 +39,7 @@
 
 def make_context(config: generated.ControlSettings) -> duties.Context:
     """Return the context of the duties without starting anything."""
-    store = budget.make_budget(
+    store = call_budget.make_budget_store(
         http_store.connect(config.platform_url, config.store_timeout_s),
         config,
         clock.boottime_s,
@@ -66,7 +66,9 @@
         ),
         sealer=usage_sealer.make_sealer(
             store,
-            reports.connect(config.platform_url, lifetime_s, timeout_s),
+            usage_report_sender.connect(
+                config.platform_url, lifetime_s, timeout_s
+            ),
             time.time,
             clock.boottime_s,
             usage_sealer.SealTiming(
@@ -116,7 +118,7 @@
 ) -> None:
     """Keep the lease manager's candidates current."""
     while True:
-        lease_manager.candidates = tuple(sorted(candidates.found))
+        lease_manager.candidates = tuple(sorted(candidates.addresses))
         await trio.sleep(interval_s)
 
 
@@ -134,7 +136,7 @@
     context = make_context(config)
     # Unique to this start, so that a restarted process does not mistake its
     # predecessor's leases for its own.
-    holder = f'{config.vm_name}.{settled.new_nonce()}'
+    holder = f'{config.vm_name}.{confirmed_write.new_nonce()}'
     lease_manager = lease.make_lease_manager(
         context.store,
         holder,
--- a/gentianstair/control/planning.py
+++ b/gentianstair/control/planning.py
@@ -87,7 +87,7 @@
         active_engines = sum(
             context.view.upstream(name)['type'] == 'engine'
             and context.view.upstream(name)['state'] == ACTIVE
-            for name in context.view.names('upstream')
+            for name in context.view.valid_names('upstream')
         )
         for models in {tuple(item['models']) for item in engines.values()}:
             group = [
--- a/gentianstair/control/upstream_orders.py
+++ b/gentianstair/control/upstream_orders.py
@@ -10,9 +10,9 @@
 from gentianstair import errors
 from gentianstair.control import lease
 from gentianstair.generated import messages
-from gentianstair.store import orders
-from gentianstair.store import settled
+from gentianstair.store import confirmed_write
 from gentianstair.store import store as stores
+from gentianstair.store import upstream_order_sender
 from gentianstair.util import audit
 
 KIND = 'upstream-order'
@@ -46,7 +46,7 @@
     def __init__(
         self,
         store: stores.Store,
-        sender: orders.Sender,
+        sender: upstream_order_sender.Sender,
         order_lifetime_s: float,
     ) -> None:
         self._store = store
@@ -76,7 +76,7 @@
                 'upstreams': list(order.upstreams),
                 'token': f'{authority.scope}-{number}',
                 'state': 'intended',
-                'nonce': settled.new_nonce(),
+                'nonce': confirmed_write.new_nonce(),
                 'change': '',
             }
             authority.check()
@@ -132,7 +132,7 @@
         done: messages.UpstreamOrderValue = {
             **value,
             'state': 'done',
-            'nonce': settled.new_nonce(),
+            'nonce': confirmed_write.new_nonce(),
         }
         return await self._write(authority, done, version)
 
@@ -142,7 +142,7 @@
         value: messages.UpstreamOrderValue,
         version: int,
     ) -> int:
-        return await settled.put(
+        return await confirmed_write.put(
             self._store,
             KIND,
             authority.scope,
@@ -167,7 +167,9 @@
 
 
 def make_upstream_orders(
-    store: stores.Store, sender: orders.Sender, order_lifetime_s: float
+    store: stores.Store,
+    sender: upstream_order_sender.Sender,
+    order_lifetime_s: float,
 ) -> UpstreamOrders:
     """Return the sender of platform orders of a process."""
     return UpstreamOrders(store, sender, order_lifetime_s)
--- a/gentianstair/control/usage_sealer.py
+++ b/gentianstair/control/usage_sealer.py
@@ -10,9 +10,9 @@
 from gentianstair.control import lease
 from gentianstair.entry import usage
 from gentianstair.generated import messages
-from gentianstair.store import reports
-from gentianstair.store import settled
+from gentianstair.store import confirmed_write
 from gentianstair.store import store as stores
+from gentianstair.store import usage_report_sender
 from gentianstair.util import clock as clocks
 from gentianstair.util import usage_rows
 
@@ -53,7 +53,7 @@
     def __init__(
         self,
         store: stores.Store,
-        sender: reports.Sender,
+        sender: usage_report_sender.Sender,
         wall_clock: usage.Wall,
         clock: clocks.Clock,
         timing: SealTiming,
@@ -99,14 +99,14 @@
             'first': first,
             'sealed': first - 1,
             'reported': first - 1,
-            'nonce': settled.new_nonce(),
+            'nonce': confirmed_write.new_nonce(),
         }
         return await self._write_progress(value, 0), value
 
     async def _write_progress(
         self, value: messages.UsageProgressValue, version: int
     ) -> int:
-        return await settled.put(
+        return await confirmed_write.put(
             self._store,
             usage.PROGRESS_KIND,
             usage.PROGRESS_NAME,
@@ -157,7 +157,7 @@
             )
         seal = make_seal(window, previous, listing)
         try:
-            await settled.put(
+            await confirmed_write.put(
                 self._store,
                 usage.SEAL_KIND,
                 str(window),
@@ -199,7 +199,7 @@
                 'first': progress['first'],
                 'sealed': max(progress['sealed'], reported),
                 'reported': reported,
-                'nonce': settled.new_nonce(),
+                'nonce': confirmed_write.new_nonce(),
             }
             version = await self._write_progress(progress, version)
 
@@ -288,13 +288,13 @@
             usage_rows.sum_by_key(late).values(), key=usage_rows.key_of
         ),
         'accounted': accounted,
-        'nonce': settled.new_nonce(),
+        'nonce': confirmed_write.new_nonce(),
     }
 
 
 def make_sealer(
     store: stores.Store,
-    sender: reports.Sender,
+    sender: usage_report_sender.Sender,
     wall_clock: usage.Wall,
     clock: clocks.Clock,
     timing: SealTiming,
--- a/gentianstair/entry/app.py
+++ b/gentianstair/entry/app.py
@@ -71,7 +71,7 @@
             handler.check_fresh(node)
         except errors.RequestError as error:
             return _problem(error)
-        names = callers.list_models(node.view.bundle(), caller)
+        names = callers.list_models(node.view.active_bundle(), caller)
         rows = [
             {
                 'id': name,
@@ -101,7 +101,7 @@
     """Return why the balancer should not send here, or None."""
     if leaving.is_set():
         return 'leaving'
-    if node.view.bundle() is None:
+    if node.view.active_bundle() is None:
         return 'no bundle is in force'
     if not node.freshness.is_fresh():
         return 'configuration is not fresh'
--- a/gentianstair/entry/claim_links.py
+++ b/gentianstair/entry/claim_links.py
@@ -15,8 +15,8 @@
 from gentianstair.generated import messages
 from gentianstair.generated import settings
 from gentianstair.peers import link
+from gentianstair.store import confirmed_write
 from gentianstair.store import presence
-from gentianstair.store import settled
 from gentianstair.store import store as stores
 from gentianstair.util import clock as clocks
 
@@ -130,7 +130,9 @@
         owner = self._chosen.get(shard_name)
         if owner is None:
             owner = max(
-                self._presence.found if self._presence else [self._vm_name],
+                self._presence.addresses
+                if self._presence
+                else [self._vm_name],
                 key=lambda name: rendezvous.score(shard_name, name),
             )
             self._chosen[shard_name] = owner
@@ -161,7 +163,7 @@
             self._claims.owners = self
             while True:
                 self._chosen = {}
-                for name, owner_address in self._presence.found.items():
+                for name, owner_address in self._presence.addresses.items():
                     if name != self._vm_name and name not in self._dialed:
                         self._dialed[name] = owner_address
                         nursery.start_soon(self._keep, name, owner_address)
@@ -234,7 +236,7 @@
     network = link.make_network(
         config._replace(peer_listen=config.claim_listen)
     )
-    name = f'{config.vm_name}.{settled.new_nonce()}'
+    name = f'{config.vm_name}.{confirmed_write.new_nonce()}'
 
     def make_presence(address: str) -> presence.Presence:
         shown = config.claim_advertise or address
--- a/gentianstair/entry/handler.py
+++ b/gentianstair/entry/handler.py
@@ -183,7 +183,7 @@
     ) -> None:
         node = self._node
         completion = completions.parse(self._exchange.path, body)
-        bundle = node.view.bundle()
+        bundle = node.view.active_bundle()
         model = callers.resolve_model(bundle, caller, completion.model)
         work = self._work(caller, completion, model, deadline_s)
         request = requests.Request(self._request_id, caller, work, bundle)
@@ -277,7 +277,11 @@
             repeatable=call.repeatable,
         )
         request = requests.Request(
-            self._request_id, caller, work, node.view.bundle(), service=True
+            self._request_id,
+            caller,
+            work,
+            node.view.active_bundle(),
+            service=True,
         )
 
         async def run() -> None:
--- a/gentianstair/entry/main.py
+++ b/gentianstair/entry/main.py
@@ -28,7 +28,7 @@
 from gentianstair.entry import usage as usages
 from gentianstair.generated import settings as generated
 from gentianstair.peers import node as peers
-from gentianstair.store import budget
+from gentianstair.store import call_budget
 from gentianstair.store import http_store
 from gentianstair.upstreams import transport
 from gentianstair.util import clock
@@ -68,7 +68,7 @@
     """Return the parts of an entry process, none of them running yet."""
     view = views.View(config.bundle_public_key)
     now = clock.boottime_s
-    store = budget.make_budget(
+    store = call_budget.make_budget_store(
         http_store.connect(config.platform_url, config.store_timeout_s),
         config,
         now,
@@ -128,7 +128,7 @@
 
     @app.get('/operator/status')
     async def status():
-        bundle = node.view.bundle()
+        bundle = node.view.active_bundle()
         return {
             'vm': node.settings.vm_name,
             'failure_domain': node.settings.failure_domain,
--- a/gentianstair/entry/upkeep.py
+++ b/gentianstair/entry/upkeep.py
@@ -56,7 +56,7 @@
     """
     found = {
         name: typing.cast(messages.UpstreamValue, node.view.upstream(name))
-        for name in node.view.names('upstream')
+        for name in node.view.valid_names('upstream')
     }
     infos = [upstream_info(name, value) for name, value in found.items()]
     node.router.set_upstreams(infos)
@@ -175,4 +175,4 @@
             for name, url in wanted - set(scopes):
                 scope = scopes[(name, url)] = trio.CancelScope()
                 nursery.start_soon(follow, name, url, scope)
-            await node.view.wait_change()
+            await node.view.wait_for_change()
--- a/gentianstair/entry/usage.py
+++ b/gentianstair/entry/usage.py
@@ -10,7 +10,7 @@
 
 from gentianstair import errors
 from gentianstair.generated import messages
-from gentianstair.store import settled
+from gentianstair.store import confirmed_write
 from gentianstair.store import store as stores
 from gentianstair.util import usage_rows
 
@@ -70,7 +70,7 @@
         self._begin_incarnation()
 
     def _begin_incarnation(self) -> None:
-        self.incarnation = f'{self._vm_name}.{settled.new_nonce()}'
+        self.incarnation = f'{self._vm_name}.{confirmed_write.new_nonce()}'
         self._version = 0
 
     def count(
@@ -153,11 +153,11 @@
     async def _write(self, rows: dict) -> None:
         value: messages.UsageValue = {
             'vm': self._vm_name,
-            'nonce': settled.new_nonce(),
+            'nonce': confirmed_write.new_nonce(),
             'rows': list(rows.values()),
         }
         try:
-            self._version = await settled.put(
+            self._version = await confirmed_write.put(
                 self._store,
                 KIND,
                 self.incarnation,
--- a/gentianstair/gateway/autoscaler.py
+++ b/gentianstair/gateway/autoscaler.py
@@ -12,7 +12,7 @@
 from gentianstair.gateway import store_watch
 from gentianstair.generated import events
 from gentianstair.platform import cloud as clouds
-from gentianstair.store import settled
+from gentianstair.store import confirmed_write
 
 BASELINE_KIND = 'fleet-baseline'
 PURPOSE = 'fleet'
@@ -108,8 +108,11 @@
                 STARTUP_HEARTBEATS * self._node.deployment.replica_heartbeat_s
             ):
                 return 0
-            value = {'count': replica_count, 'nonce': settled.new_nonce()}
-            await settled.put(
+            value = {
+                'count': replica_count,
+                'nonce': confirmed_write.new_nonce(),
+            }
+            await confirmed_write.put(
                 store, BASELINE_KIND, service, value, 0, purpose=PURPOSE
             )
             self._baselines[service] = replica_count
--- a/gentianstair/gateway/leader_tasks.py
+++ b/gentianstair/gateway/leader_tasks.py
@@ -16,7 +16,7 @@
 from gentianstair.gateway import usage_counter
 from gentianstair.generated import events
 from gentianstair.platform import cloud as clouds
-from gentianstair.store import settled
+from gentianstair.store import confirmed_write
 from gentianstair.store import store as stores
 
 # The lease's name in the store.
@@ -119,9 +119,9 @@
         records = await self._members.records()
         parts = [memberships.usage_windows(record) for record in records]
         counts = usage_counter.window_total(parts, window)
-        value = {'counts': counts, 'nonce': settled.new_nonce()}
+        value = {'counts': counts, 'nonce': confirmed_write.new_nonce()}
         try:
-            await settled.put(
+            await confirmed_write.put(
                 self._store, SEAL_KIND, str(window), value, 0, purpose=PURPOSE
             )
         except errors.StoreConflictError:
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -46,7 +46,7 @@
 from gentianstair.platform import objects
 from gentianstair.platform import registry
 from gentianstair.platform import settings
-from gentianstair.store import settled
+from gentianstair.store import confirmed_write
 from gentianstair.upstreams import transport
 from gentianstair.util import clock
 from gentianstair.util import connections
@@ -94,7 +94,7 @@
     bounds = vm_settings.bounds
     wall_clock = steady_wall_clock.SteadyWallClock(time.time, now)
     counts = usage_counter.UsageCounter(wall_clock, bounds.usage_window_s)
-    name = f'{vm_settings.vm}.{settled.new_nonce()}'
+    name = f'{vm_settings.vm}.{confirmed_write.new_nonce()}'
     record = memberships.Record(
         vm=vm_settings.vm,
         failure_domain=vm_settings.failure_domain,
--- a/gentianstair/peers/broadcaster.py
+++ b/gentianstair/peers/broadcaster.py
@@ -49,7 +49,7 @@
             self._members.apply([session.peer], self._clock()), session
         )
         session.queue_objects(
-            self._view.differing(hello['buckets']), final=True
+            self._view.differing_objects(hello['buckets']), final=True
         )
         if hello['members_digest'] != self._members.digest():
             self._send_members(session)
--- a/gentianstair/peers/node.py
+++ b/gentianstair/peers/node.py
@@ -595,7 +595,7 @@
     def _handle_ask(
         self, session: session_module.Session, message: messages.PeerAsk
     ) -> None:
-        missing = self._view.differing(message['buckets'])
+        missing = self._view.differing_objects(message['buckets'])
         session.queue_objects(missing, final=True)
 
     def _handle_heartbeat(
--- a/gentianstair/peers/store_watcher.py
+++ b/gentianstair/peers/store_watcher.py
@@ -89,7 +89,7 @@
         sent_s = self._clock()
         applied = []
         revisions = []
-        for kind in view_module.KINDS:
+        for kind in view_module.WATCHED_KINDS:
             found = await self._store.list(kind, purpose='config')
             revisions.append(found.revision)
             applied += self._view.apply(found.objects)
@@ -104,7 +104,7 @@
         listed_names = {item.name for item in found.objects}
         return [
             store_module.StoredObject(kind, item.name, found.revision, None)
-            for item in self._view.live(kind)
+            for item in self._view.live_objects(kind)
             if item.name not in listed_names and item.version < found.revision
         ]
 
@@ -114,7 +114,10 @@
         await trio.sleep(self._pause_s)
         sent_s = self._clock()
         found = await self._store.watch(
-            view_module.KINDS, cursor, self._watch_s, purpose='config-watch'
+            view_module.WATCHED_KINDS,
+            cursor,
+            self._watch_s,
+            purpose='config-watch',
         )
         as_of_s = sent_s
         waited_s = FULL_WAIT_SHARE * self._watch_s
--- a/gentianstair/platform/objects.py
+++ b/gentianstair/platform/objects.py
@@ -102,7 +102,7 @@
         except trio.TooSlowError as error:
             # A cut that has healed leaves connections of before it silent;
             # each would cost a call its whole time before it shows.
-            self._transport.forget(self._address)
+            self._transport.close_idle(self._address)
             raise self._lost(method, 'no answer in time') from error
         except errors.UpstreamError as error:
             if error.verdict is verdicts.Verdict.NOT_RUN:
--- a/gentianstair/store/budget.py
+++ b/gentianstair/store/call_budget.py
@@ -59,7 +59,7 @@
     return first if first in PRIORITIES else 'status'
 
 
-class Bucket:
+class TokenBucket:
     """A token bucket from which each priority may draw down to its reserve.
 
     A floor of its own keeps the least priority from starving for good: a
@@ -107,8 +107,8 @@
         self._inner = inner
         self._clock = clock
         now_s = clock()
-        self._reads = Bucket(reads_per_s, now_s)
-        self._writes = Bucket(writes_per_s, now_s)
+        self._reads = TokenBucket(reads_per_s, now_s)
+        self._writes = TokenBucket(writes_per_s, now_s)
         self._share = 1.0
         self._share_at_s = now_s
         self._backed_off_s = now_s - BACKOFF_S
@@ -129,7 +129,7 @@
             self._backed_off_s = now_s
             self._share = max(LOWEST_SHARE, share * BACKOFF)
 
-    def _enter(self, bucket: Bucket, call: str, purpose: str) -> None:
+    def _enter(self, bucket: TokenBucket, call: str, purpose: str) -> None:
         name = priority(purpose)
         if not bucket.take(name, self._current_share(), self._clock()):
             CALLS.labels(name, call, 'over_budget').inc()
@@ -137,7 +137,7 @@
 
     @contextlib.contextmanager
     def _counted(
-        self, bucket: Bucket, call: str, purpose: str
+        self, bucket: TokenBucket, call: str, purpose: str
     ) -> typing.Iterator[None]:
         """Count one call by its outcome; refuse it when over budget."""
         self._enter(bucket, call, purpose)
@@ -216,7 +216,7 @@
                 )
 
 
-def make_budget(
+def make_budget_store(
     inner: store.Store, settings: typing.Any, clock: clock_module.Clock
 ) -> BudgetStore:
     """Return inner behind the budget that the settings give."""
--- a/gentianstair/store/settled.py
+++ b/gentianstair/store/confirmed_write.py
@@ -7,8 +7,8 @@
 from gentianstair import errors
 from gentianstair.store import store as stores
 
-ATTEMPTS = 4
-RETRY_S = 0.05
+MAX_ATTEMPTS = 4
+FIRST_BACKOFF_S = 0.05
 
 
 def new_nonce() -> str:
@@ -44,7 +44,7 @@
     nothing was written, and StoreUnknownError when it can't be settled.
     """
     unknown = False
-    for attempt in range(ATTEMPTS):
+    for attempt in range(MAX_ATTEMPTS):
         try:
             return await store.put(
                 kind, name, value, expect_version, purpose=purpose
@@ -62,7 +62,7 @@
         except errors.StoreUnavailableError:
             if not unknown:
                 raise
-        await trio.sleep(RETRY_S * 2**attempt)
+        await trio.sleep(FIRST_BACKOFF_S * 2**attempt)
         found = await _read_back(store, kind, name, purpose)
         if found is not None and _is_ours(found, value):
             return found.version
--- a/gentianstair/store/presence.py
+++ b/gentianstair/store/presence.py
@@ -7,7 +7,7 @@
 
 from gentianstair import errors
 from gentianstair.generated import messages
-from gentianstair.store import settled
+from gentianstair.store import confirmed_write
 from gentianstair.store import store as stores
 from gentianstair.util import clock as clocks
 
@@ -43,9 +43,9 @@
         self._version = 0
         self._seen: dict[str, tuple[int, float]] = {}
         # Addresses by name, this process's own among them.
-        self.found: dict[str, str] = {name: address}
+        self.addresses: dict[str, str] = {name: address}
 
-    async def beat(self) -> None:
+    async def send_heartbeat(self) -> None:
         """Show that this process is there, and look who else is."""
         try:
             await self._show()
@@ -64,15 +64,15 @@
                 found[item.name] = str(item.value['address'])
             elif age_s > FORGOTTEN * self._heartbeat_s:
                 await self._delete(item.name, item.version)
-        self.found = found
+        self.addresses = found
 
     async def _show(self) -> None:
         value: messages.PresenceValue = {
             'address': self._address,
-            'nonce': settled.new_nonce(),
+            'nonce': confirmed_write.new_nonce(),
         }
         try:
-            self._version = await settled.put(
+            self._version = await confirmed_write.put(
                 self._store,
                 self._kind,
                 self._name,
@@ -95,7 +95,7 @@
         """Beat until cancelled, then leave so that others know at once."""
         try:
             while True:
-                await self.beat()
+                await self.send_heartbeat()
                 await trio.sleep(self._heartbeat_s)
         finally:
             with trio.CancelScope(shield=True):
--- a/gentianstair/store/orders.py
+++ b/gentianstair/store/upstream_order_sender.py
@@ -1,16 +1,16 @@
 """Connect to the platform's interface for ordering upstreams."""
 
-from gentianstair.store import checked_sender
+from gentianstair.store import lease_checked_sender
 
-Sender = checked_sender.Sender
+Sender = lease_checked_sender.Sender
 
 
 def connect(
     base_url: str, lifetime_s: float, timeout_s: float
-) -> checked_sender.HttpSender:
+) -> lease_checked_sender.HttpSender:
     """Return a sender whose undelivered bytes die after lifetime_s."""
     url = f'{base_url}/v1/upstream-orders'
-    return checked_sender.HttpSender(url, lifetime_s, timeout_s)
+    return lease_checked_sender.HttpSender(url, lifetime_s, timeout_s)
 
 
 __all__ = ('Sender', 'connect')
--- a/gentianstair/ui/commands/bundle.py
+++ b/gentianstair/ui/commands/bundle.py
@@ -148,7 +148,7 @@
 
 @sessions.run.register
 async def _keygen(command: Keygen, session: sessions.Session) -> None:
-    public = bundles.make_key(command.file)
+    public = bundles.create_key_file(command.file)
     session.out.value({'file': str(command.file), 'public_key': public})
 
 
@@ -171,10 +171,10 @@
 @sessions.run.register
 async def _sign(command: Sign, session: sessions.Session) -> None:
     bundle = bundles.decode(_read(command.file))
-    key = bundles.load_key(command.key)
+    key = bundles.load_private_key(command.key)
     _write(command.file, bundles.sign(bundle, key))
     session.out.value(
-        {'bundle': bundle['number'], 'public_key': bundles.public_hex(key)}
+        {'bundle': bundle['number'], 'public_key': bundles.public_key_hex(key)}
     )
 
 
@@ -220,7 +220,7 @@
 async def _accept(command: Accept, session: sessions.Session) -> None:
     bundle = bundles.decode(_read(command.file))
     public = command.public_key
-    if public and not bundles.is_signed(bundle, public):
+    if public and not bundles.is_signed_by(bundle, public):
         # The entries would go on with the bundle before.
         raise errors.UserError(
             f'bundle {bundle["number"]} is not signed with the key of'
@@ -254,7 +254,7 @@
     )
     bundle.pop('change', None)
     if command.key:
-        bundle = bundles.sign(bundle, bundles.load_key(command.key))
+        bundle = bundles.sign(bundle, bundles.load_private_key(command.key))
     elif found.value['signature']:
         raise errors.UserError(f'bundle {older} is signed; give --key')
     version = await accept(session, 'bundle withdraw', bundle)
--- a/gentianstair/upstreams/orders_client.py
+++ b/gentianstair/upstreams/orders_client.py
@@ -64,7 +64,7 @@
         except ValueError:
             return Outcome.REFUSED
 
-    async def last(self, url: str) -> messages.LastOrder:
+    async def fetch_last(self, url: str) -> messages.LastOrder:
         """Return the engine's last order; raise UpstreamError."""
         try:
             response = await self._client.get(
--- a/gentianstair/upstreams/transport.py
+++ b/gentianstair/upstreams/transport.py
@@ -23,7 +23,7 @@
 from gentianstair import errors
 from gentianstair import verdict as verdicts
 
-READ_BYTES = 65536
+MAX_READ_BYTES = 65536
 FINAL_STATUS = 200
 # Responses that have no body, whatever their headers say.
 BODYLESS = (204, 304)
@@ -129,7 +129,7 @@
         return self.done
 
 
-class Body(httpx.AsyncByteStream):
+class ResponseBody(httpx.AsyncByteStream):
     """The body of one response, read as it comes.
 
     Each item is all that one read brought. An upstream that closes too
@@ -180,11 +180,11 @@
     receive tries the socket first, in vain, and once more after the wait.
     """
     if not isinstance(stream, trio.SocketStream):
-        return await stream.receive_some(READ_BYTES)
+        return await stream.receive_some(MAX_READ_BYTES)
     while True:
         await trio.lowlevel.wait_readable(stream.socket)
         try:
-            return os.read(stream.socket.fileno(), READ_BYTES)
+            return os.read(stream.socket.fileno(), MAX_READ_BYTES)
         except BlockingIOError:
             continue
 
@@ -306,7 +306,7 @@
         # Half: the request must be there before the upstream's timer ends.
         return min(self._idle_s, int(found[1]) / 2)
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address, HOST:PORT."""
         host, _, port = address.rpartition(':')
         for idle in self._idle.pop((host, int(port)), ()):
@@ -351,7 +351,7 @@
         if request.method == 'HEAD':
             # The head names the length of a body that never comes.
             message.done = True
-        body = Body(
+        body = ResponseBody(
             stream,
             message,
             lambda kept: self._keep(request.url, kept, message),
--- a/standins/chaos.py
+++ b/standins/chaos.py
@@ -304,8 +304,8 @@
         outcomes.append(engine.take(order))
         arrived.set()
 
-    async def last(self, url: str) -> messages.LastOrder:
-        """See OrdersClient.last."""
+    async def fetch_last(self, url: str) -> messages.LastOrder:
+        """See OrdersClient.fetch_last."""
         await self._process.step()
         await self._engines[url].wake()
         found = self._engines[url].last
--- a/test/config/test_bundles.py
+++ b/test/config/test_bundles.py
@@ -40,17 +40,17 @@
 
 @pytest.fixture
 def key(tmp_path):
-    bundles.make_key(tmp_path / 'key.pem')
-    return bundles.load_key(tmp_path / 'key.pem')
+    bundles.create_key_file(tmp_path / 'key.pem')
+    return bundles.load_private_key(tmp_path / 'key.pem')
 
 
 def test_a_key_file_is_private_and_never_overwritten(tmp_path):
     path = tmp_path / 'key.pem'
-    bundles.make_key(path)
+    bundles.create_key_file(path)
     assert path.stat().st_mode & 0o077 == 0
     before = path.read_bytes()
     with pytest.raises(errors.UserError, match='exists'):
-        bundles.make_key(path)
+        bundles.create_key_file(path)
     assert path.read_bytes() == before
 
 
@@ -73,12 +73,12 @@
     Someone who may write to the store changed it after signing, or put an
     old signature under a new number. The signature covers all content.
     """
-    public = bundles.public_hex(key)
+    public = bundles.public_key_hex(key)
     signed = bundles.sign(bundles.build(TEXT, 1), key)
-    assert bundles.is_signed(signed, public)
-    assert not bundles.is_signed({**signed, **change}, public)
-    assert not bundles.is_signed(signed, '00' * 32)
-    assert not bundles.is_signed(signed, 'no key')
+    assert bundles.is_signed_by(signed, public)
+    assert not bundles.is_signed_by({**signed, **change}, public)
+    assert not bundles.is_signed_by(signed, '00' * 32)
+    assert not bundles.is_signed_by(signed, 'no key')
 
 
 @hypothesis.settings(derandomize=True, max_examples=60, deadline=None)
--- a/test/config/test_view.py
+++ b/test/config/test_view.py
@@ -9,8 +9,8 @@
 
 @pytest.fixture
 def key(tmp_path):
-    bundles.make_key(tmp_path / 'key.pem')
-    return bundles.load_key(tmp_path / 'key.pem')
+    bundles.create_key_file(tmp_path / 'key.pem')
+    return bundles.load_private_key(tmp_path / 'key.pem')
 
 
 def accept(view, version, number, bundle=None):
@@ -38,18 +38,20 @@
     without a signature, with one of another key, or an old signed bundle
     under a new number. Nodes check it and keep the bundle before.
     """
-    view = views.View(bundles.public_hex(key))
+    view = views.View(bundles.public_key_hex(key))
     accept(view, 1, 1, signed(key, 1))
     bad = bundles.build('[models.x]', 2)
     if forgery == 'other key':
-        bundles.make_key(tmp_path / 'other.pem')
-        bad = bundles.sign(bad, bundles.load_key(tmp_path / 'other.pem'))
+        bundles.create_key_file(tmp_path / 'other.pem')
+        bad = bundles.sign(
+            bad, bundles.load_private_key(tmp_path / 'other.pem')
+        )
     if forgery == 'old content':
         bad = signed(key, 1)
     accept(view, 3, 2, bad)
-    assert view.bundle()['number'] == 1
+    assert view.active_bundle()['number'] == 1
     accept(view, 5, 3, signed(key, 3, '[models.y]'))
-    assert list(view.bundle()['models']) == ['y']
+    assert list(view.active_bundle()['models']) == ['y']
 
 
 def test_a_number_ahead_of_its_bundle_refuses_nobody(key):
@@ -58,13 +60,13 @@
     A peer passes the accepted number on before the bundle itself. The
     bundle before stays in force until the new one is here.
     """
-    view = views.View(bundles.public_hex(key))
+    view = views.View(bundles.public_key_hex(key))
     accept(view, 1, 1, signed(key, 1))
     accept(view, 4, 2)
-    assert view.bundle()['number'] == 1
+    assert view.active_bundle()['number'] == 1
     late = store.StoredObject('bundle', '2', 3, signed(key, 2))
     view.apply([late])
-    assert view.bundle()['number'] == 2
+    assert view.active_bundle()['number'] == 2
 
 
 def test_a_broken_object_is_not_listed():
@@ -75,4 +77,4 @@
     """
     view = views.View()
     view.apply([store.StoredObject('upstream', 'u', 1, {'url': 7})])
-    assert view.names('upstream') == []
+    assert view.valid_names('upstream') == []
--- a/test/entry/test_claims.py
+++ b/test/entry/test_claims.py
@@ -9,7 +9,7 @@
 from gentianstair import verdict
 from gentianstair.entry import claim_shard
 from gentianstair.entry import claims
-from gentianstair.store import budget
+from gentianstair.store import call_budget
 from gentianstair.util import clock
 from standins import memory_store
 from standins.platform import objects
@@ -179,7 +179,7 @@
 async def test_budget_delays_claims_and_refuses_none(autojump_clock):
     """A VM has fewer calls than requests; batches grow, nobody is refused."""
     inner = memory_store.MemoryStore()
-    store = budget.BudgetStore(inner, clock.trio_time_s, 20.0, 10.0)
+    store = call_budget.BudgetStore(inner, clock.trio_time_s, 20.0, 10.0)
     made = claims.make_claims(store, 'vm', clock.trio_time_s, 2, RETENTION_S)
     states = []
 
--- a/test/peers/test_store_watcher.py
+++ b/test/peers/test_store_watcher.py
@@ -71,7 +71,7 @@
 
         def check():
             for name, vm in fleet.running.items():
-                found = vm.view.bundle()
+                found = vm.view.active_bundle()
                 if not vm.node.is_fresh() or found is None:
                     continue
                 assert found['note'] == f'content {found["number"]}'
@@ -103,7 +103,8 @@
         newest = next(numbers) - 1
         await fleet.wait(
             lambda vm: (
-                vm.node.is_fresh() and vm.view.bundle()['number'] == newest
+                vm.node.is_fresh()
+                and vm.view.active_bundle()['number'] == newest
             )
         )
         assert all(vm.view.revision == revision for vm in fleet.select())
@@ -188,7 +189,7 @@
         view.apply(
             [store.StoredObject('accepted', 'current', version, pointer)]
         )
-    assert view.bundle()['number'] == 2
+    assert view.active_bundle()['number'] == 2
 
 
 def test_value_that_fails_its_schema_is_kept_but_not_used():
--- a/test/store/test_budget.py
+++ b/test/store/test_call_budget.py
@@ -6,7 +6,7 @@
 import trio
 
 from gentianstair import errors
-from gentianstair.store import budget
+from gentianstair.store import call_budget
 from gentianstair.util import clock
 from standins import memory_store
 
@@ -51,7 +51,9 @@
     go, and those that keep authority must be the last.
     """
     inner = memory_store.MemoryStore()
-    store = budget.BudgetStore(inner, clock.trio_time_s, reads_per_s, 10.0)
+    store = call_budget.BudgetStore(
+        inner, clock.trio_time_s, reads_per_s, 10.0
+    )
     passed = await offer(store, 100.0, RATES)
     assert sum(inner.calls.values()) <= 100.0 * reads_per_s * 1.05 + 120
     for purpose, number in least.items():
@@ -61,7 +63,7 @@
 async def test_outage_lowers_the_calls_and_ends(autojump_clock):
     """A store that comes back is knocked down again by the calls held up."""
     inner = memory_store.MemoryStore()
-    store = budget.BudgetStore(inner, clock.trio_time_s, 100.0, 10.0)
+    store = call_budget.BudgetStore(inner, clock.trio_time_s, 100.0, 10.0)
     inner.faults.down = True
 
     async def attempt():
--- a/test/ui/test_snapshot.py
+++ b/test/ui/test_snapshot.py
@@ -88,7 +88,7 @@
 
 
 def test_every_kind_of_configuration_is_saved():
-    assert set(snapshot.ORDER) == set(views.KINDS)
+    assert set(snapshot.ORDER) == set(views.WATCHED_KINDS)
 
 
 @pytest.mark.parametrize('damage', ['cut', 'changed', 'kind', 'value'])
