--- a/gentianstair/store/__init__.py
+++ b/gentianstair/store/__init__.py
@@ -1,1 +1,1 @@
-"""Meet the platform: its object store, orders and usage reports."""
+"""Clients of the platform: object store, orders, usage reports, VMs."""
--- a/gentianstair/store/call_budget.py
+++ b/gentianstair/store/call_budget.py
@@ -1,4 +1,4 @@
-"""Keep this process's calls of the store within a budget, by priority."""
+"""Limit the rate of this process's store calls, by priority."""
 
 import contextlib
 import typing
@@ -9,8 +9,8 @@
 from gentianstair.store import store
 from gentianstair.util import clock as clock_module
 
-# Purposes by priority: what keeps authority goes first, what only informs
-# goes last. A purpose that is not named here counts as status.
+# Priority classes, highest first: lease renewals must not wait, status can.
+# A purpose that is not listed here or in _ALIASES has priority status.
 PRIORITIES = ('lease', 'claim', 'usage', 'config', 'status')
 _ALIASES = {
     'order': 'lease',
@@ -19,18 +19,19 @@
     'audit': 'config',
     'operator': 'config',
 }
-# Share of the burst that a priority leaves to those above it, a step each.
-RESERVE_STEP = 0.15
-# Seconds of the budget that may be spent at once.
+# Share of the capacity that each priority leaves to the one above it.
+RESERVE_SHARE_PER_PRIORITY = 0.15
+# Capacity of a token bucket, in seconds of its rate.
 BURST_S = 2.0
-# Share of the budget that each priority gets whatever the others take.
-FLOOR_SHARE = 0.04
-# How the rate falls when the store refuses or fails calls, at most once in
-# BACKOFF_S, and rises again with each second without.
-BACKOFF = 0.5
-BACKOFF_S = 1.0
-LOWEST_SHARE = 0.02
-RISE_PER_S = 0.05
+# Share of the rate that is guaranteed to each priority.
+GUARANTEED_SHARE = 0.04
+# A failed call multiplies the rate by BACKOFF_FACTOR, at most once in
+# BACKOFF_INTERVAL_S and down to MIN_RATE_SHARE. The rate then rises linearly
+# to the configured one.
+BACKOFF_FACTOR = 0.5
+BACKOFF_INTERVAL_S = 1.0
+MIN_RATE_SHARE = 0.02
+RATE_SHARE_RISE_PER_S = 0.05
 
 CALLS = prometheus_client.Counter(
     'gentianstair_store_calls',
@@ -54,48 +55,52 @@
     >>> priority('lease'), priority('config-watch'), priority('vm-list')
     ('lease', 'config', 'status')
     """
-    first = purpose.partition('-')[0]
-    first = _ALIASES.get(first, first)
-    return first if first in PRIORITIES else 'status'
+    prefix = purpose.partition('-')[0]
+    prefix = _ALIASES.get(prefix, prefix)
+    return prefix if prefix in PRIORITIES else 'status'
 
 
 class TokenBucket:
-    """A token bucket from which each priority may draw down to its reserve.
+    """A token bucket that each priority may drain down to its reserve.
 
-    A floor of its own keeps the least priority from starving for good: a
-    node whose claims use up the budget would else lose its watch, grow
-    stale and refuse the very callers it made the claims for.
+    Each priority also has a guaranteed rate, so that none starves: a node
+    whose claims use up the bucket could otherwise not watch the store, and
+    would reject callers because its configuration is stale.
     """
 
     def __init__(self, rate_per_s: float, now_s: float) -> None:
         self._rate_per_s = rate_per_s
-        self._burst = max(1.0, rate_per_s * BURST_S)
-        self._tokens = self._burst
-        self._floors = dict.fromkeys(PRIORITIES, 1.0)
-        self._at_s = now_s
-
-    def take(self, name: str, share: float, now_s: float) -> bool:
-        """Take a token for a priority, if it may have one."""
-        gone_s = max(0.0, now_s - self._at_s)
-        self._at_s = now_s
-        gained = gone_s * self._rate_per_s * share
-        self._tokens = min(self._burst, self._tokens + gained)
-        for other in PRIORITIES:
-            floor = self._floors[other] + gained * FLOOR_SHARE
-            self._floors[other] = min(1.0, floor)
-        reserve = self._burst * RESERVE_STEP * PRIORITIES.index(name)
-        if self._tokens - 1.0 >= min(reserve, self._burst - 1.0):
+        self._capacity = max(1.0, rate_per_s * BURST_S)
+        self._tokens = self._capacity
+        self._guaranteed_tokens = dict.fromkeys(PRIORITIES, 1.0)
+        self._refilled_at_s = now_s
+
+    def take(self, priority_class: str, share: float, now_s: float) -> bool:
+        """Take a token for a priority; return whether there was one."""
+        elapsed_s = max(0.0, now_s - self._refilled_at_s)
+        self._refilled_at_s = now_s
+        refill = elapsed_s * self._rate_per_s * share
+        self._tokens = min(self._capacity, self._tokens + refill)
+        for each in PRIORITIES:
+            tokens = self._guaranteed_tokens[each] + refill * GUARANTEED_SHARE
+            self._guaranteed_tokens[each] = min(1.0, tokens)
+        reserved = (
+            self._capacity
+            * RESERVE_SHARE_PER_PRIORITY
+            * PRIORITIES.index(priority_class)
+        )
+        if self._tokens - 1.0 >= min(reserved, self._capacity - 1.0):
             self._tokens -= 1.0
             return True
-        if self._floors[name] >= 1.0:
-            self._floors[name] -= 1.0
-            self._tokens = max(-self._burst, self._tokens - 1.0)
+        if self._guaranteed_tokens[priority_class] >= 1.0:
+            self._guaranteed_tokens[priority_class] -= 1.0
+            self._tokens = max(-self._capacity, self._tokens - 1.0)
             return True
         return False
 
 
 class BudgetStore(store.Store):
-    """A store that counts every call and refuses those over budget."""
+    """A store that counts every call and rejects those over budget."""
 
     def __init__(
         self,
@@ -109,45 +114,49 @@
         now_s = clock()
         self._reads = TokenBucket(reads_per_s, now_s)
         self._writes = TokenBucket(writes_per_s, now_s)
-        self._share = 1.0
-        self._share_at_s = now_s
-        self._backed_off_s = now_s - BACKOFF_S
+        self._rate_share = 1.0
+        self._rate_share_at_s = now_s
+        self._backed_off_at_s = now_s - BACKOFF_INTERVAL_S
 
-    def _current_share(self) -> float:
-        """Return the share of the budget in use, which rises with time."""
+    def _current_rate_share(self) -> float:
+        """Return the share of the configured rate that is allowed now."""
         now_s = self._clock()
-        risen = RISE_PER_S * (now_s - self._share_at_s)
-        self._share = min(1.0, self._share + risen)
-        self._share_at_s = now_s
-        RATE.set(self._share)
-        return self._share
+        increase = RATE_SHARE_RISE_PER_S * (now_s - self._rate_share_at_s)
+        self._rate_share = min(1.0, self._rate_share + increase)
+        self._rate_share_at_s = now_s
+        RATE.set(self._rate_share)
+        return self._rate_share
 
     def _back_off(self) -> None:
         now_s = self._clock()
-        share = self._current_share()
-        if now_s - self._backed_off_s >= BACKOFF_S:
-            self._backed_off_s = now_s
-            self._share = max(LOWEST_SHARE, share * BACKOFF)
-
-    def _enter(self, bucket: TokenBucket, call: str, purpose: str) -> None:
-        name = priority(purpose)
-        if not bucket.take(name, self._current_share(), self._clock()):
-            CALLS.labels(name, call, 'over_budget').inc()
-            raise errors.BudgetError(f'{call} for {purpose}: over budget')
+        share = self._current_rate_share()
+        if now_s - self._backed_off_at_s >= BACKOFF_INTERVAL_S:
+            self._backed_off_at_s = now_s
+            self._rate_share = max(MIN_RATE_SHARE, share * BACKOFF_FACTOR)
+
+    def _spend(self, bucket: TokenBucket, call: str, purpose: str) -> None:
+        priority_class = priority(purpose)
+        if not bucket.take(
+            priority_class, self._current_rate_share(), self._clock()
+        ):
+            CALLS.labels(priority_class, call, 'over_budget').inc()
+            raise errors.BudgetError(
+                f'store {call} for {purpose}: call budget exceeded'
+            )
 
     @contextlib.contextmanager
     def _counted(
         self, bucket: TokenBucket, call: str, purpose: str
     ) -> typing.Iterator[None]:
-        """Count one call by its outcome; refuse it when over budget."""
-        self._enter(bucket, call, purpose)
+        """Count one call by its outcome; reject it when over budget."""
+        self._spend(bucket, call, purpose)
         outcome = 'failed'
         try:
             yield
             outcome = 'ok'
         except errors.StoreUnavailableError:
-            # The store refuses calls past its budget and has outages; both
-            # call for fewer calls, and neither is made better by more.
+            # The store is overloaded or down; retrying at the same rate
+            # would make it worse.
             outcome = 'unavailable'
             self._back_off()
             raise
@@ -219,7 +228,7 @@
 def make_budget_store(
     inner: store.Store, settings: typing.Any, clock: clock_module.Clock
 ) -> BudgetStore:
-    """Return inner behind the budget that the settings give."""
+    """Return inner with the rate limits from the settings."""
     return BudgetStore(
         inner, clock, settings.store_reads_per_s, settings.store_writes_per_s
     )
--- a/gentianstair/store/confirmed_write.py
+++ b/gentianstair/store/confirmed_write.py
@@ -1,4 +1,4 @@
-"""Write objects so that a lost answer is settled by reading back."""
+"""Write objects, and read back whether a write with no response happened."""
 
 import secrets
 
@@ -12,7 +12,7 @@
 
 
 def new_nonce() -> str:
-    """Return a value that tells one write from all others."""
+    """Return a random value that identifies one write."""
     return secrets.token_hex(8)
 
 
@@ -34,40 +34,42 @@
     *,
     purpose: str,
 ) -> int:
-    """Write a value that holds a ``nonce`` of its own; return its version.
+    """Write a value with a unique ``nonce``; return the new version.
 
-    After a lost answer the object shows the nonce, so the write took
-    effect, or it has the version expected, so writing again is right: if
-    the first write still arrives before the second, the second conflicts
-    and finds the nonce; if after, the first conflicts. Raise
-    StoreConflictError when another wrote, StoreUnavailableError when
-    nothing was written, and StoreUnknownError when it can't be settled.
+    After a lost response the object is read back. If it has the nonce, the
+    write took effect. Otherwise the write is repeated with the same
+    expected version, so at most one of the two takes effect. Raise
+    StoreConflictError if another process wrote the object,
+    StoreUnavailableError if nothing was written, and StoreUnknownError if
+    the effect is still unknown after MAX_ATTEMPTS.
     """
-    unknown = False
+    may_have_written = False
     for attempt in range(MAX_ATTEMPTS):
         try:
             return await store.put(
                 kind, name, value, expect_version, purpose=purpose
             )
         except errors.StoreUnknownError:
-            unknown = True
+            may_have_written = True
         except errors.StoreConflictError as error:
-            if not unknown:
+            if not may_have_written:
                 raise
             found = await _read_back(store, kind, name, purpose)
-            if found is not None and not _is_ours(found, value):
-                # An answer from the past may hide our own write.
+            if found is not None and not _has_nonce_of(found, value):
+                # A stale read may not show our own write yet.
                 if found.version > expect_version:
                     raise error
         except errors.StoreUnavailableError:
-            if not unknown:
+            if not may_have_written:
                 raise
         await trio.sleep(FIRST_BACKOFF_S * 2**attempt)
         found = await _read_back(store, kind, name, purpose)
-        if found is not None and _is_ours(found, value):
+        if found is not None and _has_nonce_of(found, value):
             return found.version
-    raise errors.StoreUnknownError(f'{kind}/{name}')
+    raise errors.StoreUnknownError(
+        f'{kind}/{name}: unknown whether the write took effect'
+    )
 
 
-def _is_ours(found: stores.StoredObject, value: stores.Value) -> bool:
+def _has_nonce_of(found: stores.StoredObject, value: stores.Value) -> bool:
     return found.value is not None and found.value['nonce'] == value['nonce']
--- a/gentianstair/store/http_store.py
+++ b/gentianstair/store/http_store.py
@@ -9,8 +9,8 @@
 from gentianstair import errors
 from gentianstair.store import store
 
-# Added to a watch's own time limit before the connection counts as dead.
-WATCH_GRACE_S = 2.0
+# Time added to the timeout of a watch before its HTTP request times out.
+WATCH_MARGIN_S = 2.0
 MAX_CONNECTIONS = 64
 
 
@@ -29,7 +29,7 @@
         body: store.Value | None = None,
         timeout_s: float | None = None,
     ) -> httpx.Response:
-        """Send one call; tell calls without effect from unknown ones."""
+        """Send one request; raise by whether it may have taken effect."""
         content = None if body is None else msgspec.json.encode(body)
         try:
             response = await self._client.request(
@@ -43,27 +43,34 @@
         except (httpx.ConnectError, httpx.ConnectTimeout) as error:
             raise errors.StoreUnavailableError(str(error)) from error
         except httpx.PoolTimeout as error:
-            raise errors.StoreUnavailableError('no connection') from error
+            raise errors.StoreUnavailableError(
+                'no free connection in the pool'
+            ) from error
         except httpx.TransportError as error:
-            # The call may have reached the store, so only a read, which
-            # has no effect, is known to have none.
+            # The request may have reached the store, so a write may have
+            # taken effect.
             if method == 'GET':
                 raise errors.StoreUnavailableError(str(error)) from error
             raise errors.StoreUnknownError(str(error)) from error
         return response
 
-    def _check(
+    def _decode(
         self, response: httpx.Response, kind: str, name: str
     ) -> typing.Any:
+        """Return the JSON body; raise StoreError for an error status."""
         if response.status_code == 409:
             current = response.json()['current_version']
             raise errors.StoreConflictError(kind, name, current)
         if response.status_code == 410:
             raise errors.WatchTooOldError(kind)
         if response.status_code in (429, 503):
-            raise errors.StoreUnavailableError('the store refused the call')
+            raise errors.StoreUnavailableError(
+                f'the store rejected the call with {response.status_code}'
+            )
         if response.status_code >= 400:
-            raise errors.StoreUnknownError(f'status {response.status_code}')
+            raise errors.StoreUnknownError(
+                f'{kind}/{name}: status {response.status_code}'
+            )
         return response.json()
 
     async def get(
@@ -71,8 +78,8 @@
     ) -> store.StoredObject:
         """See Store.get."""
         response = await self._call('GET', _path(kind, name), {})
-        found = self._check(response, kind, name)
-        return _object(found)
+        body = self._decode(response, kind, name)
+        return _to_object(body)
 
     async def list(
         self, kind: str, *, purpose: str, prefix: str = ''
@@ -80,7 +87,7 @@
         """See Store.list."""
         params = {'prefix': prefix}
         response = await self._call('GET', f'/v1/objects/{kind}', params)
-        return _listing(self._check(response, kind, prefix))
+        return _to_listing(self._decode(response, kind, prefix))
 
     async def put(
         self,
@@ -95,7 +102,7 @@
         params = {'expect_version': expect_version}
         path = _path(kind, name)
         response = await self._call('PUT', path, params, value)
-        return self._check(response, kind, name)['version']
+        return self._decode(response, kind, name)['version']
 
     async def delete(
         self, kind: str, name: str, expect_version: int, *, purpose: str
@@ -103,7 +110,7 @@
         """See Store.delete."""
         params = {'expect_version': expect_version}
         response = await self._call('DELETE', _path(kind, name), params)
-        return self._check(response, kind, name)['version']
+        return self._decode(response, kind, name)['version']
 
     async def watch(
         self,
@@ -119,30 +126,30 @@
             'after_revision': after_revision,
             'timeout_s': timeout_s,
         }
-        limit_s = timeout_s + WATCH_GRACE_S
+        request_timeout_s = timeout_s + WATCH_MARGIN_S
         response = await self._call(
-            'GET', '/v1/watch', params, timeout_s=limit_s
+            'GET', '/v1/watch', params, timeout_s=request_timeout_s
         )
-        return _listing(self._check(response, params['kinds'], ''))
+        return _to_listing(self._decode(response, params['kinds'], ''))
 
 
 def _path(kind: str, name: str) -> str:
     return f'/v1/objects/{kind}/{urllib.parse.quote(name, safe="")}'
 
 
-def _object(found: dict[str, typing.Any]) -> store.StoredObject:
+def _to_object(body: dict[str, typing.Any]) -> store.StoredObject:
     return store.StoredObject(
-        found['kind'], found['name'], found['version'], found['value']
+        body['kind'], body['name'], body['version'], body['value']
     )
 
 
-def _listing(found: dict[str, typing.Any]) -> store.Listing:
-    objects = [_object(item) for item in found['objects']]
-    return store.Listing(found['revision'], objects)
+def _to_listing(body: dict[str, typing.Any]) -> store.Listing:
+    objects = [_to_object(item) for item in body['objects']]
+    return store.Listing(body['revision'], objects)
 
 
 def connect(base_url: str, timeout_s: float) -> HttpStore:
-    """Return a client of the platform at base_url."""
+    """Return a client of the store at base_url."""
     limits = httpx.Limits(
         max_connections=MAX_CONNECTIONS,
         max_keepalive_connections=MAX_CONNECTIONS,
--- a/gentianstair/store/lease_checked_sender.py
+++ b/gentianstair/store/lease_checked_sender.py
@@ -1,4 +1,4 @@
-"""Post to the platform what must not leave after authority lapsed."""
+"""Post requests to the platform that must not be sent without a lease."""
 
 import typing
 
@@ -8,7 +8,7 @@
 
 
 class Sender(typing.Protocol):
-    """What sends a body to one interface of the platform."""
+    """Sends request bodies to one endpoint of the platform."""
 
     async def send(
         self, body: dict[str, typing.Any], check: leased_call.LeaseCheck
@@ -17,7 +17,7 @@
 
 
 class HttpSender:
-    """Posts to one URL of the platform."""
+    """Posts request bodies to one URL of the platform."""
 
     def __init__(self, url: str, lifetime_s: float, timeout_s: float) -> None:
         self._url = url
@@ -28,7 +28,7 @@
         self, body: dict[str, typing.Any], check: leased_call.LeaseCheck
     ) -> None:
         """See Sender.send."""
-        answer = await leased_call.call(
+        response = await leased_call.call(
             self._url,
             'POST',
             body,
@@ -36,6 +36,8 @@
             lifetime_s=self._lifetime_s,
             timeout_s=self._timeout_s,
         )
-        if answer.status != 200:
-            known = verdict.Verdict.MAY_HAVE_RUN
-            raise errors.UpstreamError(f'status {answer.status}', known)
+        if response.status != 200:
+            may_have_run = verdict.Verdict.MAY_HAVE_RUN
+            raise errors.UpstreamError(
+                f'{self._url}: status {response.status}', may_have_run
+            )
--- a/gentianstair/store/presence.py
+++ b/gentianstair/store/presence.py
@@ -1,4 +1,4 @@
-"""Show that a process is there, and know which others are."""
+"""Publish heartbeats of this process, and find the live peers."""
 
 import contextlib
 import typing
@@ -12,17 +12,17 @@
 from gentianstair.util import clock as clocks
 
 PURPOSE = 'status'
-# A process whose object did not change for so many heartbeats is gone.
-MISSED = 3
-# Whoever sees an object unchanged for so many heartbeats deletes it.
-FORGOTTEN = 50
+# Heartbeat intervals without a change until a process counts as dead.
+DEAD_AFTER_HEARTBEATS = 3
+# Heartbeat intervals without a change until the object is deleted.
+DELETE_AFTER_HEARTBEATS = 50
 
 
 class Presence:
-    """This process's heartbeat, and the heartbeats it sees.
+    """Publishes the heartbeat of this process and tracks those of others.
 
-    What is seen here decides only who tries first or is asked first; a
-    wrong view costs a conflict or a delay, never safety.
+    The list of live processes only decides which process tries first or is
+    asked first. A wrong list costs a conflict or a delay, never safety.
     """
 
     def __init__(
@@ -41,32 +41,33 @@
         self._clock = clock
         self._heartbeat_s = heartbeat_s
         self._version = 0
-        self._seen: dict[str, tuple[int, float]] = {}
-        # Addresses by name, this process's own among them.
+        # Version of each object, and when this process first read it.
+        self._last_seen: dict[str, tuple[int, float]] = {}
+        # Addresses of the live processes by name, with this process.
         self.addresses: dict[str, str] = {name: address}
 
     async def send_heartbeat(self) -> None:
-        """Show that this process is there, and look who else is."""
+        """Write this process's heartbeat and read those of the others."""
         try:
-            await self._show()
+            await self._write_heartbeat()
             listing = await self._store.list(self._kind, purpose=PURPOSE)
         except errors.StoreError:
             return
         now_s = self._clock()
-        found = {self._name: self._address}
+        addresses = {self._name: self._address}
         for item in listing.objects:
-            known = self._seen.get(item.name)
-            if known is None or known[0] != item.version:
-                known = (item.version, now_s)
-                self._seen[item.name] = known
-            age_s = now_s - known[1]
-            if age_s < MISSED * self._heartbeat_s:
-                found[item.name] = str(item.value['address'])
-            elif age_s > FORGOTTEN * self._heartbeat_s:
+            last_seen = self._last_seen.get(item.name)
+            if last_seen is None or last_seen[0] != item.version:
+                last_seen = (item.version, now_s)
+                self._last_seen[item.name] = last_seen
+            age_s = now_s - last_seen[1]
+            if age_s < DEAD_AFTER_HEARTBEATS * self._heartbeat_s:
+                addresses[item.name] = str(item.value['address'])
+            elif age_s > DELETE_AFTER_HEARTBEATS * self._heartbeat_s:
                 await self._delete(item.name, item.version)
-        self.addresses = found
+        self.addresses = addresses
 
-    async def _show(self) -> None:
+    async def _write_heartbeat(self) -> None:
         value: messages.PresenceValue = {
             'address': self._address,
             'nonce': confirmed_write.new_nonce(),
@@ -81,18 +82,18 @@
                 purpose=PURPOSE,
             )
         except errors.StoreConflictError as error:
-            # An earlier beat took effect late, or it was forgotten.
+            # An earlier heartbeat took effect late, or a peer deleted it.
             self._version = error.current_version
 
     async def _delete(self, name: str, version: int) -> None:
-        self._seen.pop(name, None)
+        self._last_seen.pop(name, None)
         with contextlib.suppress(errors.StoreError):
             await self._store.delete(
                 self._kind, name, version, purpose=PURPOSE
             )
 
     async def run(self) -> None:
-        """Beat until cancelled, then leave so that others know at once."""
+        """Send heartbeats until cancelled, then delete the object."""
         try:
             while True:
                 await self.send_heartbeat()
@@ -111,5 +112,5 @@
     clock: clocks.Clock,
     heartbeat_s: float,
 ) -> Presence:
-    """Return what this process shows and sees as objects of a kind."""
+    """Return the presence of this process among objects of a kind."""
     return Presence(store, kind, name, address, clock, heartbeat_s)
--- a/gentianstair/store/store.py
+++ b/gentianstair/store/store.py
@@ -1,4 +1,4 @@
-"""Define what the platform's object store offers, whatever carries it."""
+"""Define the interface of the platform's object store."""
 
 import abc
 import typing
@@ -10,8 +10,8 @@
     """One object; ``value`` is None when it is absent or was deleted.
 
     ``version`` is the store-wide revision of the object's last change, so
-    versions of different objects compare too. An object that never was has
-    version 0.
+    versions of different objects compare too. An object that never existed
+    has version 0.
     """
 
     kind: str
@@ -31,9 +31,10 @@
     """The object API: reads, conditional updates and watches.
 
     All calls may raise StoreUnavailableError (no effect). Writes may also
-    raise StoreUnknownError: the answer was lost, the effect is unknown and
-    is settled by reading back. ``purpose`` names the caller's reason for the
-    accounting of calls, for example ``lease`` or ``claim``.
+    raise StoreUnknownError: the response was lost, and only reading back
+    tells whether the write took effect. ``purpose`` names the reason of the
+    call, for example ``lease`` or ``claim``; calls are counted and limited
+    by it.
     """
 
     @abc.abstractmethod
@@ -56,7 +57,7 @@
         *,
         purpose: str,
     ) -> int:
-        """Write if the version is as expected; 0 means create if absent.
+        """Write if the version is the expected one; 0 means create if absent.
 
         Return the new version. Raise StoreConflictError otherwise.
         """
@@ -65,7 +66,10 @@
     async def delete(
         self, kind: str, name: str, expect_version: int, *, purpose: str
     ) -> int:
-        """Delete if the version is as expected; return the new version."""
+        """Delete if the version is the expected one.
+
+        Return the new version. Raise StoreConflictError otherwise.
+        """
 
     @abc.abstractmethod
     async def watch(
@@ -79,5 +83,5 @@
         """Wait for changes after a revision; deletions have no value.
 
         Return an empty listing after timeout_s. Raise WatchTooOldError
-        when the store no longer keeps the changes asked for.
+        when the store no longer keeps the changes since then.
         """
--- a/gentianstair/store/upstream_order_sender.py
+++ b/gentianstair/store/upstream_order_sender.py
@@ -1,4 +1,4 @@
-"""Connect to the platform's interface for ordering upstreams."""
+"""Send orders for upstreams to the platform."""
 
 from gentianstair.store import lease_checked_sender
 
@@ -8,7 +8,7 @@
 def connect(
     base_url: str, lifetime_s: float, timeout_s: float
 ) -> lease_checked_sender.HttpSender:
-    """Return a sender whose undelivered bytes die after lifetime_s."""
+    """Return a sender; undelivered bytes are dropped after lifetime_s."""
     url = f'{base_url}/v1/upstream-orders'
     return lease_checked_sender.HttpSender(url, lifetime_s, timeout_s)
 
--- a/gentianstair/store/vm_list.py
+++ b/gentianstair/store/vm_list.py
@@ -1,4 +1,4 @@
-"""Read the platform's list of live and leaving VMs, which lags."""
+"""Read the platform's list of live and leaving VMs, which may be stale."""
 
 import abc
 import typing
@@ -10,7 +10,7 @@
 
 
 class Vm(typing.NamedTuple):
-    """One VM on the list; ``address`` is where its peers reach it."""
+    """One VM on the list; ``address`` is HOST:PORT for its peers."""
 
     name: str
     address: str
@@ -20,7 +20,7 @@
 
 
 class VmList(abc.ABC):
-    """What tells which VMs the platform believes there are."""
+    """The platform's list of VMs."""
 
     @abc.abstractmethod
     async def read(self) -> list[Vm]:
@@ -48,16 +48,16 @@
             raise errors.StoreUnavailableError(str(error)) from error
         if response.status_code != 200:
             raise errors.StoreUnavailableError(
-                f'status {response.status_code}'
+                f'list of VMs: status {response.status_code}'
             )
         return decode(response.content)
 
 
 def decode(content: bytes) -> list[Vm]:
-    """Return the VMs in an answer; an entry with other fields is fine.
+    """Return the VMs in a response; unknown fields are ignored.
 
-    An entry without an address or failure domain is left out: a VM whose
-    process did not start yet has none.
+    An entry without an address or failure domain is skipped: the process
+    on that VM has not started yet.
 
     >>> decode(b'{"vms": [{"name": "a"}, {"name": "b", "address": "h:1",'
     ...        b' "failure_domain": "d", "state": "leaving"}]}')
@@ -65,17 +65,17 @@
 region='local')]
     """
     try:
-        rows = msgspec.json.decode(content)['vms']
+        entries = msgspec.json.decode(content)['vms']
         return [
             msgspec.convert(
                 [
-                    row.get(field, Vm._field_defaults.get(field))
+                    entry.get(field, Vm._field_defaults.get(field))
                     for field in Vm._fields
                 ],
                 Vm,
             )
-            for row in rows
-            if row.get('address') and row.get('failure_domain')
+            for entry in entries
+            if entry.get('address') and entry.get('failure_domain')
         ]
     except (
         msgspec.DecodeError,
@@ -88,6 +88,6 @@
 
 
 def connect(base_url: str, timeout_s: float) -> HttpVmList:
-    """Return the list of the platform at base_url."""
+    """Return a client of the list on the platform at base_url."""
     client = httpx.AsyncClient(base_url=base_url, trust_env=False)
     return HttpVmList(client, timeout_s)
--- a/test/store/__init__.py
+++ b/test/store/__init__.py
@@ -1,1 +1,1 @@
-"""Test the platform clients and their stand-in."""
+"""Test the clients of the platform's store."""
--- a/test/store/test_call_budget.py
+++ b/test/store/test_call_budget.py
@@ -1,4 +1,4 @@
-"""Test who gets the store's calls when there are too few."""
+"""Test rate limits of store calls by priority, and backoff."""
 
 import collections
 
@@ -11,8 +11,8 @@
 from standins import memory_store
 
 
-async def offer(store, seconds, rates_per_s):
-    """Offer calls at rates by purpose; return how many passed of each."""
+async def make_calls(store, seconds, rates_per_s):
+    """Make calls at a rate per purpose; return how many passed."""
     passed = collections.Counter()
     start_s = trio.current_time()
     due = dict.fromkeys(rates_per_s, 0.0)
@@ -34,34 +34,36 @@
 
 
 @pytest.mark.parametrize(
-    'reads_per_s, least',
+    'reads_per_s, least_passed',
     [
-        # Enough for all.
+        # The budget covers all calls.
         (60.0, {'lease': 490, 'claim': 980, 'config': 490, 'status': 2400}),
-        # Half: status goes short, the others do not.
+        # Half of the offered rate: only status calls are rejected.
         (30.0, {'lease': 490, 'claim': 980, 'usage': 480, 'config': 450}),
-        # A tenth: leases keep going, and no purpose stops wholly.
+        # A tenth: leases are still renewed, and no purpose starves.
         (5.0, {'lease': 350, 'config': 10, 'status': 10}),
     ],
+    ids=['enough', 'half', 'tenth'],
 )
-async def test_priorities_by_budget(autojump_clock, reads_per_s, least):
-    """Leases lapse because status pages use up the store's budget.
+async def test_low_priority_calls_do_not_starve_leases(
+    autojump_clock, reads_per_s, least_passed
+):
+    """Leases lapse because status calls use up the call budget.
 
-    The store's rate is shared; when it is cut to a tenth, most calls must
-    go, and those that keep authority must be the last.
+    When the budget is too small, lower priorities are rejected first.
     """
     inner = memory_store.MemoryStore()
     store = call_budget.BudgetStore(
         inner, clock.trio_time_s, reads_per_s, 10.0
     )
-    passed = await offer(store, 100.0, RATES)
+    passed = await make_calls(store, 100.0, RATES)
     assert sum(inner.calls.values()) <= 100.0 * reads_per_s * 1.05 + 120
-    for purpose, number in least.items():
+    for purpose, number in least_passed.items():
         assert passed[purpose] >= number, passed
 
 
-async def test_outage_lowers_the_calls_and_ends(autojump_clock):
-    """A store that comes back is knocked down again by the calls held up."""
+async def test_calls_back_off_in_an_outage_and_recover(autojump_clock):
+    """Calls at the full rate overload a store that is starting again."""
     inner = memory_store.MemoryStore()
     store = call_budget.BudgetStore(inner, clock.trio_time_s, 100.0, 10.0)
     inner.faults.down = True
--- a/test/store/test_store.py
+++ b/test/store/test_store.py
@@ -1,4 +1,4 @@
-"""Test the store's promises on the in-process and the HTTP client alike."""
+"""Test the store interface on the in-memory store and the HTTP client."""
 
 import contextlib
 
@@ -15,7 +15,7 @@
 
 @contextlib.asynccontextmanager
 async def open_store(kind):
-    """Yield a client and the faults that its stand-in obeys."""
+    """Yield a client and the faults to inject into its store."""
     if kind == 'memory':
         client = memory_store.MemoryStore()
         yield client, client.faults
@@ -37,7 +37,7 @@
 
 
 @KINDS
-async def test_conditional_writes(kind):
+async def test_a_write_with_an_old_version_conflicts(kind):
     async with open_store(kind) as (store, _):
         first = await store.put('a', 'x', {'n': 1}, 0, purpose='test')
         with pytest.raises(errors.StoreConflictError) as caught:
@@ -53,25 +53,25 @@
 
 
 @KINDS
-async def test_watch_wakes_on_change_and_times_out(kind):
+async def test_a_watch_returns_on_a_change_or_its_timeout(kind):
     async with open_store(kind) as (store, _):
-        got = []
+        changed = []
 
         async def watch():
             found = await store.watch(['a'], 0, 5.0, purpose='test')
-            got.extend(found.objects)
+            changed.extend(found.objects)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch)
             await store.put('b', 'y', {}, 0, purpose='test')
             await store.put('a', 'x', {'n': 1}, 0, purpose='test')
-        assert [item.name for item in got] == ['x']
+        assert [item.name for item in changed] == ['x']
         empty = await store.watch(['a'], 2, 0.01, purpose='test')
         assert empty.objects == []
 
 
 @KINDS
-async def test_lost_answer_is_told_apart_from_no_effect(kind):
+async def test_a_lost_response_differs_from_an_unsent_call(kind):
     async with open_store(kind) as (store, faults):
         faults.lose_answers = 1.0
         with pytest.raises(errors.StoreUnknownError):
