--- a/gentianstair/upstreams/__init__.py
+++ b/gentianstair/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Meet engines and plain services."""
+"""HTTP clients of engines and other upstream services."""
--- a/gentianstair/upstreams/orders_client.py
+++ b/gentianstair/upstreams/orders_client.py
@@ -1,4 +1,4 @@
-"""Give orders to engines, and ask them for the last one they took."""
+"""Send orders to engines, and read the last order that each accepted."""
 
 import enum
 import typing
@@ -13,10 +13,10 @@
 
 
 class Outcome(enum.Enum):
-    """What an engine answered to an order."""
+    """An engine's response to an order."""
 
     DONE = 'done'
-    # Taken on; the change is under way.
+    # The engine accepted the order and is still carrying it out.
     ACCEPTED = 'accepted'
     STALE_EPOCH = 'stale_epoch'
     BUSY = 'busy'
@@ -24,7 +24,11 @@
 
 
 class Order(typing.NamedTuple):
-    """One order; epoch and number together name it."""
+    """One order; epoch and number together identify it.
+
+    ``holder`` is the process that holds the lease; ``epoch`` is the fencing
+    number of that lease.
+    """
 
     epoch: int
     order_number: int
@@ -34,7 +38,7 @@
 
 
 class OrdersClient:
-    """Orders to engines over HTTP."""
+    """Sends orders to engines over HTTP."""
 
     def __init__(
         self, client: httpx.AsyncClient, lifetime_s: float, timeout_s: float
@@ -46,8 +50,11 @@
     async def send(
         self, url: str, order: Order, check: leased_call.LeaseCheck
     ) -> Outcome:
-        """Send an order; raise as leased_call.call does."""
-        answer = await leased_call.call(
+        """Send an order; raise as leased_call.call does.
+
+        An unknown response counts as REFUSED.
+        """
+        response = await leased_call.call(
             f'{url}/orders',
             'POST',
             order._asdict(),
@@ -55,12 +62,12 @@
             lifetime_s=self._lifetime_s,
             timeout_s=self._timeout_s,
         )
-        body = answer.body if isinstance(answer.body, dict) else {}
-        word = body.get('state') if answer.status == 200 else None
-        if answer.status == 409:
-            word = body.get('reason')
+        body = response.body if isinstance(response.body, dict) else {}
+        outcome = body.get('state') if response.status == 200 else None
+        if response.status == 409:
+            outcome = body.get('reason')
         try:
-            return Outcome(word)
+            return Outcome(outcome)
         except ValueError:
             return Outcome.REFUSED
 
@@ -75,11 +82,11 @@
                 response.content, type=messages.LastOrder
             )
         except (httpx.HTTPError, msgspec.MsgspecError) as error:
-            known = verdict.Verdict.NOT_RUN
-            raise errors.UpstreamError(f'{url}: {error!r}', known) from error
+            not_run = verdict.Verdict.NOT_RUN
+            raise errors.UpstreamError(f'{url}: {error!r}', not_run) from error
 
 
 def connect(lifetime_s: float, timeout_s: float) -> OrdersClient:
-    """Return a client; undelivered orders die after lifetime_s."""
+    """Return a client; undelivered orders are dropped after lifetime_s."""
     client = httpx.AsyncClient(trust_env=False)
     return OrdersClient(client, lifetime_s, timeout_s)
--- a/gentianstair/upstreams/transport.py
+++ b/gentianstair/upstreams/transport.py
@@ -1,8 +1,7 @@
-"""Carry HTTP requests to upstreams over trio, at little cost per chunk.
+"""Send HTTP requests to upstreams over trio, with little CPU per chunk.
 
-It is an httpx transport: httpx gives the request and response types, the
-httptools library parses. Measured against httpx's own transport it spends
-about a quarter of the processor time on each relayed chunk; see
+It is an httpx transport that parses responses with httptools, which costs
+much less per relayed chunk than httpx's own transport; see
 docs/design/relay.md.
 """
 
@@ -24,58 +23,61 @@
 from gentianstair import verdict as verdicts
 
 MAX_READ_BYTES = 65536
-FINAL_STATUS = 200
-# Responses that have no body, whatever their headers say.
-BODYLESS = (204, 304)
-# An upstream echoes the request's id in its answer.
-ANSWER_ID_HEADER = b'x-request-id'
+# Lower status codes (1xx) are interim responses.
+MIN_FINAL_STATUS = 200
+# Responses that have no body, regardless of their headers.
+BODYLESS_STATUSES = (204, 304)
+# An upstream may echo the request's id in this header.
+REQUEST_ID_HEADER = b'x-request-id'
 MAX_HEADER_BYTES = 65536
-IDLE_CONNECTIONS = 256
+# Bounds the idle connections to one address.
+MAX_IDLE_CONNECTIONS = 256
 HTTPS_PORT = 443
 HTTP_PORT = 80
-_KEEP_ALIVE = re.compile(rb'timeout=(\d+)')
+_KEEP_ALIVE_TIMEOUT = re.compile(rb'timeout=(\d+)')
 
 
-class _Idle(typing.NamedTuple):
-    """A connection that waits for a request, and until when it may."""
+class _IdleConnection(typing.NamedTuple):
+    """An idle connection, and the time when it expires."""
 
     stream: trio.abc.Stream
-    until_s: float
+    expires_at_s: float
 
 
-class _Message:
-    """Collect what the parser finds in one response.
+class _ResponseParser:
+    """Parses one response; the on_ methods are called by httptools.
 
-    Interim responses (1xx) may come before it, also in the same read; they
-    are forgotten when they end. So is a whole response that bears another
-    request's id: an upstream that answered an earlier request twice sends
-    the second answer late, where this one's is due. What follows the
-    response belongs to no request and ends the connection's use.
+    Interim responses (1xx) before it are dropped. So is a response with
+    another request's id, as a duplicate response to an earlier request on
+    this connection may come first. If more bytes follow the response, the
+    connection is not used again.
     """
 
     def __init__(self, answer_id: bytes | None = None) -> None:
-        self.parser = httptools.HttpResponseParser(self)
+        self.httptools_parser = httptools.HttpResponseParser(self)
         self.status = 0
         self.headers: list[tuple[bytes, bytes]] = []
-        self.parts: list[bytes] = []
-        self._answer_id = answer_id
+        self.body_parts: list[bytes] = []
+        self._request_id = answer_id
         self._header_bytes = 0
-        self._foreign = False
+        self._is_for_other_request = False
         self.done = False
-        # Without a length the body ends with the connection.
-        self.ends_at_close = False
-        # Only known until the parser turns to what follows.
+        # A body without a length ends when the connection closes.
+        self.body_ends_at_close = False
+        # Read when the response ends; later the parser no longer has it.
         self.keep_alive = False
 
     @property
-    def head_done(self) -> bool:
-        """Return whether the final response's headers are here."""
-        return self.status >= FINAL_STATUS and not self._foreign
+    def headers_done(self) -> bool:
+        """Return whether the final response's headers are complete."""
+        return (
+            self.status >= MIN_FINAL_STATUS and not self._is_for_other_request
+        )
 
     def on_message_begin(self) -> None:
         if self.done:
-            # Bytes after the end: nothing on this connection can be
-            # trusted to answer what is asked next.
+            # Bytes after the response could be read as the response to the
+            # next request.
             self.keep_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -83,101 +85,105 @@
             return
         self._header_bytes += len(name) + len(value)
         if self._header_bytes > MAX_HEADER_BYTES:
-            # The parser reports it as an error of the upstream's.
-            raise ValueError('the headers are too long')
+            # httptools turns this into an HttpParserError.
+            raise ValueError(
+                f'response headers exceed {MAX_HEADER_BYTES} bytes'
+            )
         self.headers.append((name, value))
 
-    def header(self, wanted: bytes) -> bytes | None:
-        """Return a header's value, or None; wanted is in lower case."""
+    def header(self, wanted_name: bytes) -> bytes | None:
+        """Return a header's value, or None; the name is in lower case."""
         for name, value in self.headers:
-            if name.lower() == wanted:
+            if name.lower() == wanted_name:
                 return value
         return None
 
     def on_headers_complete(self) -> None:
         if self.done:
             return
-        self.status = self.parser.get_status_code()
-        found = self.header(ANSWER_ID_HEADER)
-        wanted = self._answer_id
-        self._foreign = None not in (found, wanted) and found != wanted
-        self.ends_at_close = (
-            self.status not in BODYLESS
+        self.status = self.httptools_parser.get_status_code()
+        found_id = self.header(REQUEST_ID_HEADER)
+        request_id = self._request_id
+        self._is_for_other_request = (
+            None not in (found_id, request_id) and found_id != request_id
+        )
+        self.body_ends_at_close = (
+            self.status not in BODYLESS_STATUSES
             and self.header(b'content-length') is None
             and self.header(b'transfer-encoding') is None
         )
 
     def on_body(self, body: bytes) -> None:
-        if self.head_done and not self.done:
-            self.parts.append(body)
+        if self.headers_done and not self.done:
+            self.body_parts.append(body)
 
     def on_message_complete(self) -> None:
         if self.done:
             return
-        if self.head_done:
+        if self.headers_done:
             self.done = True
-            self.keep_alive = self.parser.should_keep_alive()
+            self.keep_alive = self.httptools_parser.should_keep_alive()
             return
         self.headers.clear()
         self.status = 0
-        self._foreign = False
+        self._is_for_other_request = False
 
     def on_close(self) -> bool:
-        """Note the connection's end; say whether it ends the response."""
-        if self.head_done and self.ends_at_close:
+        """Handle the connection's end; return whether the body is whole."""
+        if self.headers_done and self.body_ends_at_close:
             self.done = True
         return self.done
 
 
 class ResponseBody(httpx.AsyncByteStream):
-    """The body of one response, read as it comes.
+    """The body of one response, streamed.
 
-    Each item is all that one read brought. An upstream that closes too
-    early raises UpstreamError with MAY_HAVE_RUN.
+    Each item holds the data of one read. If the upstream closes too early,
+    iterating raises UpstreamError with MAY_HAVE_RUN.
     """
 
     def __init__(
         self,
         stream: trio.abc.Stream,
-        message: _Message,
-        give_back: collections.abc.Callable[[trio.abc.Stream], None],
+        parser: _ResponseParser,
+        release: collections.abc.Callable[[trio.abc.Stream], None],
     ) -> None:
         self._stream = stream
-        self._message = message
-        self._give_back = give_back
+        self._parser = parser
+        self._release = release
         self._closed = False
 
     async def __aiter__(self) -> collections.abc.AsyncIterator[bytes]:
-        message = self._message
+        parser = self._parser
         while True:
-            if message.parts:
-                found = b''.join(message.parts)
-                message.parts.clear()
-                yield found
-            if message.done:
+            if parser.body_parts:
+                data = b''.join(parser.body_parts)
+                parser.body_parts.clear()
+                yield data
+            if parser.done:
                 return
-            await _feed(self._stream, message)
+            await _receive_into(self._stream, parser)
 
     async def aclose(self) -> None:
-        """Keep the connection if the body is whole, else cut it.
+        """Keep the connection if the body is whole, else close it.
 
-        Cutting it is how the upstream learns that the work is cancelled.
-        A second call does nothing.
+        Closing it tells the upstream that the request is cancelled. A
+        second call does nothing.
         """
         if self._closed:
             return
         self._closed = True
-        if self._message.done and self._message.keep_alive:
-            self._give_back(self._stream)
+        if self._parser.done and self._parser.keep_alive:
+            self._release(self._stream)
         else:
             await trio.aclose_forcefully(self._stream)
 
 
 async def _receive(stream: trio.abc.Stream) -> bytes:
-    """Return what comes next, or nothing at the end.
+    """Return the next bytes, or none at the end of the stream.
 
-    A token is hardly ever there yet when it is waited for. Trio's own
-    receive tries the socket first, in vain, and once more after the wait.
+    Trio's receive reads the socket before it waits. The next token has
+    rarely arrived by then, so this waits first and saves a system call.
     """
     if not isinstance(stream, trio.SocketStream):
         return await stream.receive_some(MAX_READ_BYTES)
@@ -189,29 +195,34 @@
             continue
 
 
-async def _feed(stream: trio.abc.Stream, message: _Message) -> None:
+async def _receive_into(
+    stream: trio.abc.Stream, parser: _ResponseParser
+) -> None:
+    """Read once from the stream and parse what came."""
     try:
         data = await _receive(stream)
     except (OSError, trio.BrokenResourceError) as error:
-        raise _lost(f'{type(error).__name__} while reading') from error
-    if not data and not message.on_close():
-        raise _lost('the upstream closed the connection')
+        raise _may_have_run(f'{type(error).__name__} while reading') from error
+    if not data and not parser.on_close():
+        raise _may_have_run('the upstream closed the connection')
     try:
         if data:
-            message.parser.feed_data(data)
+            parser.httptools_parser.feed_data(data)
     except httptools.HttpParserError as error:
-        # Garbage behind a whole response does not spoil the response.
-        message.keep_alive = False
-        if not message.done:
-            raise _lost(f'{type(error).__name__} while reading') from error
+        # Invalid bytes after a whole response do not make it invalid.
+        parser.keep_alive = False
+        if not parser.done:
+            raise _may_have_run(
+                f'{type(error).__name__} while reading'
+            ) from error
 
 
-def _lost(message: str) -> errors.UpstreamError:
+def _may_have_run(message: str) -> errors.UpstreamError:
     return errors.UpstreamError(message, verdicts.Verdict.MAY_HAVE_RUN)
 
 
-def _head(request: httpx.Request) -> bytes:
-    # A target that is passed on must not be normalized on the way.
+def _encode_head(request: httpx.Request) -> bytes:
+    # A relayed target is sent as received, not normalized by httpx.
     target = request.extensions.get('target', request.url.raw_path)
     lines = [b'%s %s HTTP/1.1' % (request.method.encode(), target)]
     lines += [b'%s: %s' % pair for pair in request.headers.raw]
@@ -224,11 +235,11 @@
     return stream.socket
 
 
-def _is_closed(stream: trio.abc.Stream) -> bool:
-    """Return whether an idle connection has been closed or written to.
+def _is_unusable(stream: trio.abc.Stream) -> bool:
+    """Return whether the upstream closed an idle connection or sent bytes.
 
-    An upstream that stopped while the connection was idle shows as a
-    readable socket; sending on it would lose a request that never ran.
+    Both make the socket readable. A request sent on a closed connection
+    would count as one that may have run.
     """
     poller = select.poll()
     poller.register(_socket(stream).fileno(), select.POLLIN)
@@ -236,15 +247,18 @@
 
 
 class Transport(httpx.AsyncBaseTransport):
-    """Connections to upstreams, kept open by address.
-
-    With the request extension ``fresh`` a new connection is opened, as an
-    unrepeatable request needs: a kept one may die after the first byte, for
-    reasons that have nothing to do with the request. The extension
-    ``before_send`` is called with no await between it and the first byte.
-    ``connect_s`` bounds the time to connect.
-    ``answer_id`` is the id that the answer must bear if it bears one, and
-    ``target`` the request's target as it is sent.
+    """An httpx transport with a pool of idle connections for each address.
+
+    Request extensions:
+
+    - ``fresh``: open a new connection. Requests that must not be repeated
+      need it, as an idle connection may close just after the send.
+    - ``before_send``: called before the first byte is sent, with no await
+      in between.
+    - ``connect_s``: the time limit for connecting.
+    - ``answer_id``: the request's id; a response with another id is
+      dropped.
+    - ``target``: the request target, sent as it is.
     """
 
     def __init__(
@@ -252,7 +266,9 @@
     ) -> None:
         self._ssl_context = ssl_context
         self._idle_s = idle_s
-        self._idle: dict[tuple[str, int], collections.deque[_Idle]] = {}
+        self._idle: dict[
+            tuple[str, int], collections.deque[_IdleConnection]
+        ] = {}
 
     async def _connect(self, url: httpx.URL) -> trio.abc.Stream:
         secure = url.scheme == 'https'
@@ -275,39 +291,41 @@
     ) -> trio.abc.Stream:
         with trio.move_on_after(math.inf if limit_s is None else limit_s):
             return await self._connect(url)
-        raise errors.UnreachableError(f'no connection within {limit_s:g} s')
+        raise errors.UnreachableError(f'cannot connect within {limit_s:g} s')
 
-    def _take(self, url: httpx.URL) -> trio.abc.Stream | None:
+    def _take_idle(self, url: httpx.URL) -> trio.abc.Stream | None:
+        """Remove and return an open idle connection, or None."""
         idle = self._idle.get((url.host, url.port or 0))
         now_s = trio.current_time()
         while idle:
-            stream, until_s = idle.pop()
-            if now_s < until_s and not _is_closed(stream):
+            stream, expires_at_s = idle.pop()
+            if now_s < expires_at_s and not _is_unusable(stream):
                 return stream
             with contextlib.suppress(OSError):
                 _socket(stream).close()
         return None
 
-    def _keep(
-        self, url: httpx.URL, stream: trio.abc.Stream, message: _Message
+    def _keep_idle(
+        self, url: httpx.URL, stream: trio.abc.Stream, parser: _ResponseParser
     ) -> None:
+        """Add a connection to the pool; close the oldest one if it is full."""
         address = (url.host, url.port or 0)
         idle = self._idle.setdefault(address, collections.deque())
-        until_s = trio.current_time() + self._idle_limit_s(message)
-        idle.append(_Idle(stream, until_s))
-        if len(idle) > IDLE_CONNECTIONS:
+        expires_at_s = trio.current_time() + self._idle_limit_s(parser)
+        idle.append(_IdleConnection(stream, expires_at_s))
+        if len(idle) > MAX_IDLE_CONNECTIONS:
             _socket(idle.popleft().stream).close()
 
-    def _idle_limit_s(self, message: _Message) -> float:
-        """Return for how long the upstream keeps an idle connection."""
-        found = _KEEP_ALIVE.search(message.header(b'keep-alive') or b'')
-        if found is None:
+    def _idle_limit_s(self, parser: _ResponseParser) -> float:
+        """Return how long a connection may be idle before its reuse."""
+        match = _KEEP_ALIVE_TIMEOUT.search(parser.header(b'keep-alive') or b'')
+        if match is None:
             return self._idle_s
-        # Half: the request must be there before the upstream's timer ends.
-        return min(self._idle_s, int(found[1]) / 2)
+        # Half, so that the request arrives before the upstream closes.
+        return min(self._idle_s, int(match[1]) / 2)
 
     def close_idle(self, address: str) -> None:
-        """Close the idle connections to an address, HOST:PORT."""
+        """Close the idle connections to an address (HOST:PORT)."""
         host, _, port = address.rpartition(':')
         for idle in self._idle.pop((host, int(port)), ()):
             with contextlib.suppress(OSError):
@@ -316,15 +334,15 @@
     async def handle_async_request(
         self, request: httpx.Request
     ) -> httpx.Response:
-        """Send a request whose body is in memory; return at the headers.
+        """Send a request and return once the response headers are complete.
 
-        Raise UpstreamError: UnreachableError while there is no connection,
-        NOT_RUN until the first byte was handed to the kernel, MAY_HAVE_RUN
-        from then on.
+        The request body must be in memory. Raise UnreachableError if no
+        connection opens, and UpstreamError with MAY_HAVE_RUN for a failure
+        after the send began.
         """
         stream = None
         if not request.extensions.get('fresh'):
-            stream = self._take(request.url)
+            stream = self._take_idle(request.url)
         if stream is None:
             stream = await self._connect_in_time(
                 request.url, request.extensions.get('connect_s')
@@ -342,22 +360,24 @@
         if check is not None:
             check()
         try:
-            await stream.send_all(_head(request) + request.content)
+            await stream.send_all(_encode_head(request) + request.content)
         except trio.BrokenResourceError as error:
-            raise _lost('the connection broke while sending') from error
-        message = _Message(request.extensions.get('answer_id'))
-        while not message.head_done:
-            await _feed(stream, message)
+            raise _may_have_run(
+                'the connection broke while sending'
+            ) from error
+        parser = _ResponseParser(request.extensions.get('answer_id'))
+        while not parser.headers_done:
+            await _receive_into(stream, parser)
         if request.method == 'HEAD':
-            # The head names the length of a body that never comes.
-            message.done = True
+            # Its headers may give a length, but no body follows.
+            parser.done = True
         body = ResponseBody(
             stream,
-            message,
-            lambda kept: self._keep(request.url, kept, message),
+            parser,
+            lambda idle: self._keep_idle(request.url, idle, parser),
         )
         return httpx.Response(
-            message.status, headers=message.headers, stream=body
+            parser.status, headers=parser.headers, stream=body
         )
 
     async def aclose(self) -> None:
@@ -368,25 +388,26 @@
 
 
 async def read_all(response: httpx.Response, limit_bytes: int) -> bytes:
-    """Return a whole body; raise UpstreamError for one that is too long."""
-    parts = []
+    """Return the whole body; raise UpstreamError if it is too long."""
+    body_parts = []
     size = 0
     async for part in response.stream:
-        parts.append(part)
+        body_parts.append(part)
         size += len(part)
         if size > limit_bytes:
             raise errors.UpstreamError(
-                'the answer is too long', verdicts.Verdict.RAN
+                f'the response exceeds {limit_bytes} bytes',
+                verdicts.Verdict.RAN,
             )
-    return b''.join(parts)
+    return b''.join(body_parts)
 
 
 def make_transport(
     ssl_context: ssl.SSLContext | None = None, idle_s: float = math.inf
 ) -> Transport:
-    """Return a transport without connections.
+    """Return a transport that has no connections yet.
 
-    idle_s bounds how long a connection is kept for the next request; what
-    an upstream's Keep-Alive header says bounds it, too.
+    A connection is reused if it was idle for less than idle_s and for less
+    than half of the timeout in the upstream's Keep-Alive header.
     """
     return Transport(ssl_context, idle_s)
--- a/test/upstreams/__init__.py
+++ b/test/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Test the clients of engines and plain services."""
+"""Test the HTTP clients of engines and other upstream services."""
--- a/test/upstreams/test_transport.py
+++ b/test/upstreams/test_transport.py
@@ -1,4 +1,4 @@
-"""Test what the transport makes of upstreams that fail at any byte."""
+"""Test verdicts for upstreams that fail at any byte of a response."""
 
 import contextlib
 import functools
@@ -18,10 +18,10 @@
 
 
 class Upstream:
-    """A server that sends one answer to each request, byte for byte."""
+    """A server that sends one response to each request, byte by byte."""
 
-    def __init__(self, answers, close):
-        self.answers = list(answers)
+    def __init__(self, responses, close):
+        self.responses = list(responses)
         self.close = close
         self.requests = []
         self.connections = 0
@@ -31,19 +31,19 @@
         with contextlib.suppress(trio.BrokenResourceError):
             while data := await stream.receive_some():
                 self.requests.append(data)
-                answer = self.answers.pop(0)
-                step = 1 if len(answer) < 1000 else len(answer)
-                for start in range(0, len(answer), step):
-                    await stream.send_all(answer[start : start + step])
+                response = self.responses.pop(0)
+                step = 1 if len(response) < 1000 else len(response)
+                for start in range(0, len(response), step):
+                    await stream.send_all(response[start : start + step])
                 if self.close:
                     await stream.aclose()
                     return
 
 
 @contextlib.asynccontextmanager
-async def open_upstream(answers, close=False):
+async def open_upstream(responses, close=False):
     """Yield an upstream, its URL and a transport."""
-    upstream = Upstream(answers, close)
+    upstream = Upstream(responses, close)
     async with trio.open_nursery() as nursery:
         listeners = await nursery.start(
             functools.partial(
@@ -51,16 +51,16 @@
             )
         )
         port = listeners[0].socket.getsockname()[1]
-        made = transport.make_transport()
-        yield upstream, f'http://127.0.0.1:{port}/x', made
-        await made.aclose()
+        client = transport.make_transport()
+        yield upstream, f'http://127.0.0.1:{port}/x', client
+        await client.aclose()
         nursery.cancel_scope.cancel()
 
 
-async def ask(made, url, **extensions):
-    """Return status and whole body of one request."""
+async def send(client, url, **extensions):
+    """Send a request; return the status and the whole body."""
     request = httpx.Request('POST', url, content=b'b', extensions=extensions)
-    response = await made.handle_async_request(request)
+    response = await client.handle_async_request(request)
     try:
         body = b''.join([part async for part in response.stream])
     finally:
@@ -69,24 +69,25 @@
 
 
 @pytest.mark.parametrize(
-    ('answer', 'found'),
+    ('response', 'expected'),
     [
         (WHOLE, (200, b'ok')),
         (CHUNKED + b'1\r\no\r\n1\r\nk\r\n0\r\n\r\n', (200, b'ok')),
-        # An interim answer is not the answer.
+        # Interim responses are skipped.
         (b'HTTP/1.1 100 Continue\r\n\r\n' + WHOLE, (200, b'ok')),
         (b'HTTP/1.1 103 Early\r\nlink: x\r\n\r\n' + WHOLE, (200, b'ok')),
         (b'HTTP/1.1 204 No Content\r\n\r\n', (204, b'')),
     ],
+    ids=['length', 'chunked', 'after 100', 'after 103', 'no body'],
 )
-async def test_whole_answers(answer, found):
-    async with open_upstream([answer]) as (_, url, made):
-        assert await ask(made, url) == found
+async def test_a_whole_response_is_read(response, expected):
+    async with open_upstream([response]) as (_, url, client):
+        assert await send(client, url) == expected
 
 
 @pytest.mark.promise
 @pytest.mark.parametrize(
-    'answer',
+    'response',
     [
         b'',
         b'HTTP/1.1 200',
@@ -98,32 +99,41 @@
         b'no http at all\r\n\r\n',
         b'HTTP/1.1 200 OK\r\n' + b'x: yyyyyyyy\r\n' * 9000,
     ],
+    ids=[
+        'empty',
+        'in status line',
+        'in body',
+        'no chunk',
+        'in chunk',
+        'no last chunk',
+        'bad chunk size',
+        'not HTTP',
+        'headers too long',
+    ],
 )
-async def test_a_broken_answer_may_have_run(answer):
-    # An engine dies at some byte of its answer. Whatever came, the request
-    # was sent: told as "not run" it would be repeated, or the caller told
-    # that a registration did not happen which did.
-    async with open_upstream([answer], close=True) as (_, url, made):
+async def test_a_broken_response_counts_as_may_have_run(response):
+    # The request was sent. A verdict of not run would repeat it, or tell
+    # the caller that a registration which happened did not.
+    async with open_upstream([response], close=True) as (_, url, client):
         with pytest.raises(errors.UpstreamError) as caught:
-            await ask(made, url)
+            await send(client, url)
         assert caught.value.verdict is MAY_HAVE_RUN
 
 
 @pytest.mark.promise
-async def test_what_was_never_sent_is_not_run():
-    # The upstream is gone, or the claim of the request is too old at the
-    # moment of the send. No byte may leave, and the verdict says so.
-    async with open_upstream([WHOLE]) as (upstream, url, made):
+async def test_an_unsent_request_counts_as_not_run():
+    # The check before the send fails, or no connection opens.
+    async with open_upstream([WHOLE]) as (upstream, url, client):
 
-        def refuse():
+        def reject():
             raise errors.RequestError(503, 'too-old', 'too old')
 
-        with pytest.raises(errors.RequestError) as refused:
-            await ask(made, url, before_send=refuse)
-        assert refused.value.verdict is NOT_RUN
+        with pytest.raises(errors.RequestError) as rejected:
+            await send(client, url, before_send=reject)
+        assert rejected.value.verdict is NOT_RUN
         assert upstream.requests == []
     with pytest.raises(errors.UpstreamError) as caught:
-        await ask(made, url)
+        await send(client, url)
     assert caught.value.verdict is NOT_RUN
 
 
@@ -131,17 +141,18 @@
     ('close', 'fresh', 'connections'),
     [
         (False, False, 1),
-        # A kept connection that the upstream closed is not used again, or
-        # a request that never ran would count as one that may have.
+        # A connection that the upstream closed is not reused: the request
+        # would fail with MAY_HAVE_RUN although it did not run.
         (True, False, 2),
-        # An unrepeatable request never goes on a kept connection.
+        # An unrepeatable request always uses a new connection.
         (False, True, 2),
     ],
+    ids=['open', 'closed by upstream', 'fresh'],
 )
-async def test_kept_connections(close, fresh, connections):
-    answers = [WHOLE, WHOLE]
-    async with open_upstream(answers, close) as (upstream, url, made):
-        assert await ask(made, url) == (200, b'ok')
+async def test_only_an_open_connection_is_reused(close, fresh, connections):
+    responses = [WHOLE, WHOLE]
+    async with open_upstream(responses, close) as (upstream, url, client):
+        assert await send(client, url) == (200, b'ok')
         await trio.sleep(0.05)
-        assert await ask(made, url, fresh=fresh) == (200, b'ok')
+        assert await send(client, url, fresh=fresh) == (200, b'ok')
         assert upstream.connections == connections
