--- a/gentianstair/config/__init__.py
+++ b/gentianstair/config/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the configuration a node has in force."""
+"""The configuration of a node: bundles, objects and snapshots."""
--- a/gentianstair/config/bundles.py
+++ b/gentianstair/config/bundles.py
@@ -24,10 +24,10 @@
 
 
 def signed_bytes(bundle: messages.BundleValue) -> bytes:
-    """Return the canonical JSON of what a signature covers.
+    """Return the canonical JSON of the fields that a signature covers.
 
-    Keys are sorted and no space is written, so equal content gives equal
-    bytes whoever writes it.
+    Keys are sorted and there is no white space, so equal content always
+    gives equal bytes.
     """
     content = {name: bundle[name] for name in _SIGNED_FIELDS}
     return _encoder.encode(content)
@@ -39,21 +39,23 @@
 
 
 def decode(data: bytes) -> messages.BundleValue:
-    """Return the bundle that data holds; raise UserError if it is none."""
+    """Return the bundle that data holds; raise UserError if it has none."""
     if len(data) > MAX_BUNDLE_BYTES:
-        raise errors.UserError(f'a bundle has at most {MAX_BUNDLE_BYTES} B')
+        raise errors.UserError(f'the bundle exceeds {MAX_BUNDLE_BYTES} bytes')
     try:
         return msgspec.json.decode(data, type=messages.BundleValue)
     except msgspec.MsgspecError as error:
         raise errors.UserError(f'not a bundle: {error}') from error
 
 
-def _model(name: str, table: typing.Any) -> messages.ModelEntry:
+def _to_model_entry(name: str, table: typing.Any) -> messages.ModelEntry:
     if not isinstance(table, dict):
         raise errors.UserError(f'models.{name} must be a table')
     unknown = sorted(set(table) - set(_MODEL_DEFAULTS))
     if unknown:
-        raise errors.UserError(f'models.{name}: unknown {", ".join(unknown)}')
+        raise errors.UserError(
+            f'models.{name}: unknown field: {", ".join(unknown)}'
+        )
     entry = {**_MODEL_DEFAULTS, 'engine_model': name, **table}
     try:
         return msgspec.convert(entry, messages.ModelEntry)
@@ -62,7 +64,7 @@
 
 
 def build(text: str, number: int) -> messages.BundleValue:
-    """Return an unsigned bundle from TOML; raise UserError if it is bad.
+    """Return an unsigned bundle from TOML; raise UserError if invalid.
 
     >>> build('[models.judge]', 1)['models']['judge']['engine_model']
     'judge'
@@ -73,14 +75,16 @@
         raise errors.UserError(f'not TOML: {error}') from error
     unknown = sorted(set(tables) - {'models', 'settings', 'note'})
     if unknown:
-        raise errors.UserError(f'unknown: {", ".join(unknown)}')
+        raise errors.UserError(f'unknown table or field: {", ".join(unknown)}')
     models = tables.get('models', {})
     settings = tables.get('settings', {})
     if not isinstance(models, dict) or not isinstance(settings, dict):
         raise errors.UserError('models and settings must be tables')
     return {
         'number': number,
-        'models': {name: _model(name, models[name]) for name in models},
+        'models': {
+            name: _to_model_entry(name, models[name]) for name in models
+        },
         'settings': {name: str(settings[name]) for name in settings},
         'note': str(tables.get('note', '')),
         'signature': '',
@@ -88,26 +92,26 @@
 
 
 def create_key_file(path: pathlib.Path) -> str:
-    """Write a new private key that only its owner can read.
+    """Write a new private key to a file that only its owner can read.
 
     Return the public key in hex. Raise UserError if the file exists.
     """
     key = ed25519.Ed25519PrivateKey.generate()
-    text = key.private_bytes(
+    pem = key.private_bytes(
         serialization.Encoding.PEM,
         serialization.PrivateFormat.PKCS8,
         serialization.NoEncryption(),
     )
     try:
         path.touch(mode=0o600, exist_ok=False)
-        path.write_bytes(text)
+        path.write_bytes(pem)
     except OSError as error:
         raise errors.UserError(f'{path}: {error.strerror}') from error
     return public_key_hex(key)
 
 
 def load_private_key(path: pathlib.Path) -> ed25519.Ed25519PrivateKey:
-    """Return the private key in a file; raise UserError if it has none."""
+    """Return the Ed25519 private key in a file; raise UserError."""
     try:
         key = serialization.load_pem_private_key(path.read_bytes(), None)
     except OSError as error:
@@ -120,7 +124,7 @@
 
 
 def public_key_hex(key: ed25519.Ed25519PrivateKey) -> str:
-    """Return the public half of a key in hex."""
+    """Return the public key of a private key in hex."""
     return key.public_key().public_bytes_raw().hex()
 
 
@@ -135,7 +139,7 @@
 
 
 def is_signed_by(bundle: messages.BundleValue, public_key: str) -> bool:
-    """Return whether the holder of a public key, in hex, signed a bundle."""
+    """Return whether a bundle's signature matches a public key in hex."""
     try:
         key = ed25519.Ed25519PublicKey.from_public_bytes(
             bytes.fromhex(public_key)
--- a/gentianstair/config/snapshots.py
+++ b/gentianstair/config/snapshots.py
@@ -1,4 +1,4 @@
-"""Save configuration objects to a file and read them back, checked."""
+"""Write configuration objects to a file, and read and validate them."""
 
 import hashlib
 import pathlib
@@ -19,8 +19,8 @@
 ) -> bytes:
     """Return the content of a file; equal objects give equal bytes.
 
-    The first line is the digest of the rest, so that a file that was cut
-    short or changed is told.
+    The first line is the SHA-256 of the rest, which detects a truncated or
+    changed file.
     """
     rows: list[messages.SnapshotObject] = [
         {'kind': item.kind, 'name': item.name, 'value': item.value}
@@ -39,17 +39,21 @@
 
 
 def decode(data: bytes) -> messages.Snapshot:
-    """Return a checked snapshot; raise UserError if it is not whole."""
+    """Return a validated snapshot; raise UserError if it is invalid."""
     digest, _, body = data.partition(b'\n')
     if digest != hashlib.sha256(body).hexdigest().encode():
-        raise errors.UserError('not a whole snapshot: its digest is wrong')
+        raise errors.UserError(
+            'the snapshot is truncated or changed: its digest is wrong'
+        )
     try:
         value = msgspec.json.decode(body, type=messages.Snapshot)
         if value['format'] != FORMAT_VERSION:
-            raise errors.UserError(f'a snapshot of format {value["format"]}')
+            raise errors.UserError(
+                f'unknown snapshot format {value["format"]}'
+            )
         for row in value['objects']:
             if row['kind'] not in views.VALUE_TYPES:
-                raise errors.UserError(f'unknown kind {row["kind"]}')
+                raise errors.UserError(f'unknown object kind {row["kind"]}')
             msgspec.convert(row['value'], views.VALUE_TYPES[row['kind']])
     except msgspec.MsgspecError as error:
         raise errors.UserError(f'not a snapshot: {error}') from error
@@ -57,7 +61,7 @@
 
 
 def read(path: pathlib.Path) -> messages.Snapshot:
-    """Return the checked snapshot in a file; raise UserError."""
+    """Return the validated snapshot in a file; raise UserError."""
     try:
         return decode(path.read_bytes())
     except OSError as error:
--- a/gentianstair/config/view.py
+++ b/gentianstair/config/view.py
@@ -1,4 +1,4 @@
-"""Hold the configuration a node has in force; it only moves forward."""
+"""Hold the newest known configuration objects and the active bundle."""
 
 import typing
 
@@ -11,7 +11,7 @@
 from gentianstair.generated import messages
 from gentianstair.store import store
 
-# Kinds that every node follows.
+# Object kinds that every node watches.
 WATCHED_KINDS = ('customer', 'key', 'bundle', 'accepted', 'upstream')
 VALUE_TYPES: dict[str, type] = {
     'customer': messages.CustomerValue,
@@ -20,140 +20,144 @@
     'accepted': messages.AcceptedValue,
     'upstream': messages.UpstreamValue,
 }
-# Parts of the configuration that two nodes compare by digest; one object
-# missed costs a 256th of the configuration to repair.
+# Two nodes compare their configuration by one digest per bucket of objects.
+# To repair one missed object, a node sends all objects of its bucket.
 BUCKET_COUNT = 256
 
 
-def _bucket(item: store.StoredObject) -> int:
+def _bucket_of(item: store.StoredObject) -> int:
     text = f'{item.kind}/{item.name}'
     return xxhash.xxh32_intdigest(text.encode()) % BUCKET_COUNT
 
 
 def _is_valid(item: store.StoredObject) -> bool:
-    """Say whether the value has the shape that the schema gives its kind."""
-    kind = VALUE_TYPES.get(item.kind)
-    if kind is None or item.value is None:
+    """Return whether the value matches the schema of its kind."""
+    value_type = VALUE_TYPES.get(item.kind)
+    if value_type is None or item.value is None:
         return True
     try:
-        msgspec.convert(item.value, kind)
+        msgspec.convert(item.value, value_type)
     except msgspec.ValidationError:
         return False
     return True
 
 
-def _digest(item: store.StoredObject) -> int:
+def _digest_of(item: store.StoredObject) -> int:
     text = f'{item.kind}/{item.name}/{item.version}'
     return xxhash.xxh64_intdigest(text.encode())
 
 
 class View:
-    """The newest version known of each configuration object.
+    """The newest known version of each configuration object.
 
-    A late watch event, a peer with older state and a store that answers
-    from the past all show as an object with a lower version; it is ignored,
-    so nothing ever reverts. Deletions stay as objects without a value.
+    An object with a lower version than the known one is ignored, so a late
+    watch event, a peer with older state or a stale read reverts nothing.
+    Deleted objects stay, without a value.
     """
 
     def __init__(self, bundle_public_key: str = '') -> None:
         self._bundle_public_key = bundle_public_key
         self.objects: dict[tuple[str, str], store.StoredObject] = {}
         self.revision = 0
-        # Exclusive or of the digests of all objects, whole and by bucket,
-        # kept up at each change so that comparing costs nothing.
+        # XOR of the digests of all objects, in total and by bucket, updated
+        # with each change.
         self.digest = 0
         self.buckets = [0] * BUCKET_COUNT
-        # Objects whose value does not match the schema. They are kept and
-        # passed on, as a newer peer may know better, but never used.
+        # Objects that do not match the schema, and untrusted bundles. They
+        # are kept and forwarded, as a newer peer may accept them, but never
+        # used.
         self._invalid: set[tuple[str, str]] = set()
         # The highest bundle number that was ever accepted.
         self._accepted_number = 0
-        self._in_force: messages.BundleValue | None = None
+        self._active_bundle: messages.BundleValue | None = None
         self._changed = trio.lowlevel.ParkingLot()
 
     def apply(
-        self, found: typing.Iterable[store.StoredObject]
+        self, objects: typing.Iterable[store.StoredObject]
     ) -> list[store.StoredObject]:
-        """Take objects that are newer than those known; return them."""
-        taken = []
-        for item in found:
+        """Store the objects newer than the known ones; return them."""
+        newer = []
+        for item in objects:
             known = self.objects.get((item.kind, item.name))
             if known is not None and known.version >= item.version:
                 continue
             self._set(item, known)
-            taken.append(item)
-        self._put_in_force()
-        if taken:
+            newer.append(item)
+        self._activate_accepted_bundle()
+        if newer:
             self._changed.unpark_all()
-        return taken
+        return newer
 
     def _set(
         self, item: store.StoredObject, known: store.StoredObject | None
     ) -> None:
-        place = (item.kind, item.name)
-        self._invalid.discard(place)
-        if not _is_valid(item) or not self._may_use_bundle(item):
-            self._invalid.add(place)
+        key = (item.kind, item.name)
+        self._invalid.discard(key)
+        if not _is_valid(item) or not self._is_trusted(item):
+            self._invalid.add(key)
         elif item.kind == 'accepted' and item.value is not None:
-            # Withdrawing accepts a higher number with the older content. A
-            # pointer written by hand to a lower one would revert what is in
-            # force, so the highest number counts, whatever the version.
+            # A withdrawal accepts a higher number with older content. So a
+            # lower number is never valid, whatever the object's version.
             number = item.value['number']
             self._accepted_number = max(self._accepted_number, number)
-        change = _digest(item)
+        digest_change = _digest_of(item)
         if known is not None:
-            change ^= _digest(known)
-        self.objects[place] = item
-        self.digest ^= change
-        self.buckets[_bucket(item)] ^= change
+            digest_change ^= _digest_of(known)
+        self.objects[key] = item
+        self.digest ^= digest_change
+        self.buckets[_bucket_of(item)] ^= digest_change
         self.revision = max(self.revision, item.version)
 
-    def _may_use_bundle(self, item: store.StoredObject) -> bool:
-        """Say whether an object is no bundle, or one that was signed off.
+    def _is_trusted(self, item: store.StoredObject) -> bool:
+        """Return whether an object is a trusted bundle, or no bundle.
 
-        A signed bundle copied under a higher number would put the older
-        content in force, so the name must be the number that was signed.
+        The name must be the signed number. Otherwise an old signed bundle
+        could be copied to a higher number and activated again.
         """
         if item.kind != 'bundle' or item.value is None:
             return True
         bundle = typing.cast(messages.BundleValue, item.value)
-        allowed = str(bundle['number']) == item.name and (
+        is_trusted = str(bundle['number']) == item.name and (
             not self._bundle_public_key
             or bundles.is_signed_by(bundle, self._bundle_public_key)
         )
-        if not allowed:
+        if not is_trusted:
             loguru.logger.error('bundle {} is not signed off', item.name)
-        return allowed
+        return is_trusted
 
-    def _put_in_force(self) -> None:
-        """Move on to the accepted bundle if it is here and may be used.
+    def _activate_accepted_bundle(self) -> None:
+        """Activate the accepted bundle if it is known and trusted.
 
-        Until then the one before stays. The number can come ahead of its
-        bundle when peers pass objects on, or name one that nobody signed
-        off; without a bundle every request would be refused.
+        Otherwise the previous bundle stays active, as without a bundle
+        every request would be rejected. Peers may forward the accepted
+        number before its bundle, or it may name an unsigned bundle.
         """
-        found = self.value('bundle', str(self._accepted_number))
-        if found is not None:
-            self._in_force = found
+        bundle = self.value('bundle', str(self._accepted_number))
+        if bundle is not None:
+            self._active_bundle = bundle
 
     def differing_objects(
         self, buckets: typing.Sequence[int]
     ) -> list[store.StoredObject]:
-        """Return the objects in buckets whose digests are not as given.
+        """Return the objects in buckets whose digest differs from a peer's.
 
-        An empty sequence stands for a node that holds nothing.
+        An empty sequence means that the peer has no objects.
         """
-        theirs = (
+        peer_digests = (
             buckets if len(buckets) == BUCKET_COUNT else [0] * BUCKET_COUNT
         )
-        wanted = {
+        differing = {
             number
             for number, digest in enumerate(self.buckets)
-            if digest != theirs[number]
+            if digest != peer_digests[number]
         }
-        if not wanted:
+        if not differing:
             return []
-        found = [i for i in self.objects.values() if _bucket(i) in wanted]
+        found = [
+            item
+            for item in self.objects.values()
+            if _bucket_of(item) in differing
+        ]
         return sorted(found, key=lambda item: item.version)
 
     async def wait_for_change(self) -> None:
@@ -161,7 +165,7 @@
         await self._changed.park()
 
     def value(self, kind: str, name: str) -> typing.Any:
-        """Return the value of an object, or None."""
+        """Return the value of a live and valid object, or None."""
         item = self.objects.get((kind, name))
         if item is None or (kind, name) in self._invalid:
             return None
@@ -184,17 +188,17 @@
         )
 
     def key(self, digest: str) -> messages.KeyValue | None:
-        """Return the caller key with this SHA-256, in hex."""
+        """Return the API key of a caller by its SHA-256 in hex, or None."""
         return self.value('key', digest)
 
     def customer(self, name: str) -> messages.CustomerValue | None:
-        """Return a customer."""
+        """Return a customer, or None."""
         return self.value('customer', name)
 
     def upstream(self, name: str) -> messages.UpstreamValue | None:
-        """Return an upstream."""
+        """Return an upstream, or None."""
         return self.value('upstream', name)
 
     def active_bundle(self) -> messages.BundleValue | None:
-        """Return the bundle in force, or None before the first one."""
-        return self._in_force
+        """Return the active bundle, or None before the first one."""
+        return self._active_bundle
--- a/test/config/test_bundles.py
+++ b/test/config/test_bundles.py
@@ -66,12 +66,20 @@
         {'signature': 'zz'},
         {'signature': '00' * 64},
     ],
+    ids=[
+        'number',
+        'note',
+        'settings',
+        'models',
+        'no signature',
+        'signature not in hex',
+        'wrong signature',
+    ],
 )
-def test_a_bundle_changed_after_signing_is_refused(key, change):
-    """A bundle that nobody signed off is put in force.
+def test_a_bundle_changed_after_signing_fails_verification(key, change):
+    """A bundle changed in the store after signing is activated.
 
-    Someone who may write to the store changed it after signing, or put an
-    old signature under a new number. The signature covers all content.
+    The signature must cover all content and the number.
     """
     public = bundles.public_key_hex(key)
     signed = bundles.sign(bundles.build(TEXT, 1), key)
@@ -83,27 +91,35 @@
 
 @hypothesis.settings(derandomize=True, max_examples=60, deadline=None)
 @hypothesis.given(bundle=BUNDLE)
-def test_equal_content_gives_equal_bytes(bundle):
-    again = bundles.decode(bundles.encode(bundle))
-    assert again == bundle
+def test_signed_bytes_do_not_depend_on_key_order(bundle):
+    decoded = bundles.decode(bundles.encode(bundle))
+    assert decoded == bundle
     shuffled = dict(reversed(list(bundle.items())))
     shuffled['models'] = dict(reversed(list(bundle['models'].items())))
-    assert bundles.signed_bytes(shuffled) == bundles.signed_bytes(again)
+    assert bundles.signed_bytes(shuffled) == bundles.signed_bytes(decoded)
 
 
 @pytest.mark.parametrize(
-    ('text', 'said'),
+    ('text', 'message'),
     [
         ('x', 'not TOML'),
-        ('model = 1', 'unknown: model'),
+        ('model = 1', 'unknown table or field: model'),
         ('models = 1', 'must be tables'),
         ('models.a = 1', 'models.a must be a table'),
-        ('models.a.adaptr = "x"', 'models.a: unknown adaptr'),
+        ('models.a.adaptr = "x"', 'models.a: unknown field: adaptr'),
         ('models.a.customers = "x"', 'models.a: Expected `array`'),
     ],
+    ids=[
+        'not TOML',
+        'unknown table',
+        'models no table',
+        'model no table',
+        'unknown field',
+        'wrong type',
+    ],
 )
-def test_a_mistake_in_the_source_is_named(text, said):
-    with pytest.raises(errors.UserError, match=said):
+def test_an_invalid_source_is_rejected_with_its_mistake(text, message):
+    with pytest.raises(errors.UserError, match=message):
         bundles.build(text, 1)
 
 
@@ -111,7 +127,7 @@
 @hypothesis.given(
     data=strategies.binary(max_size=200) | strategies.text().map(str.encode)
 )
-def test_no_bytes_break_the_decoder(data):
+def test_decoding_any_bytes_raises_only_user_errors(data):
     try:
         bundles.decode(data)
     except errors.UserError:
--- a/test/config/test_view.py
+++ b/test/config/test_view.py
@@ -1,4 +1,4 @@
-"""Test which bundle and objects a node uses."""
+"""Test which bundle a node activates and which objects it uses."""
 
 import pytest
 
@@ -14,15 +14,15 @@
 
 
 def accept(view, version, number, bundle=None):
-    """Apply a bundle, if given, and then the number accepted."""
-    found = []
+    """Apply a bundle, if given, and an accepted object with its number."""
+    objects = []
     if bundle:
-        found.append(
+        objects.append(
             store.StoredObject('bundle', str(number), version, bundle)
         )
     value = {'number': number}
     pointer = store.StoredObject('accepted', 'current', version + 1, value)
-    view.apply([*found, pointer])
+    view.apply([*objects, pointer])
 
 
 def signed(key, number, text=''):
@@ -31,35 +31,31 @@
 
 @pytest.mark.promise
 @pytest.mark.parametrize('forgery', ['unsigned', 'other key', 'old content'])
-def test_only_a_signed_off_bundle_comes_in_force(key, forgery, tmp_path):
-    """Callers get models that nobody signed off.
+def test_only_a_bundle_with_a_valid_signature_is_activated(
+    key, forgery, tmp_path
+):
+    """Someone with write access to the store activates a forged bundle.
 
-    Whoever can write to the store puts a bundle there and accepts it:
-    without a signature, with one of another key, or an old signed bundle
-    under a new number. Nodes check it and keep the bundle before.
+    Nodes must verify it and keep the previous bundle.
     """
     view = views.View(bundles.public_key_hex(key))
     accept(view, 1, 1, signed(key, 1))
-    bad = bundles.build('[models.x]', 2)
+    forged = bundles.build('[models.x]', 2)
     if forgery == 'other key':
         bundles.create_key_file(tmp_path / 'other.pem')
-        bad = bundles.sign(
-            bad, bundles.load_private_key(tmp_path / 'other.pem')
+        forged = bundles.sign(
+            forged, bundles.load_private_key(tmp_path / 'other.pem')
         )
     if forgery == 'old content':
-        bad = signed(key, 1)
-    accept(view, 3, 2, bad)
+        forged = signed(key, 1)
+    accept(view, 3, 2, forged)
     assert view.active_bundle()['number'] == 1
     accept(view, 5, 3, signed(key, 3, '[models.y]'))
     assert list(view.active_bundle()['models']) == ['y']
 
 
-def test_a_number_ahead_of_its_bundle_refuses_nobody(key):
-    """Requests are refused for a moment in every rollout.
-
-    A peer passes the accepted number on before the bundle itself. The
-    bundle before stays in force until the new one is here.
-    """
+def test_the_previous_bundle_serves_until_the_new_one_arrives(key):
+    """Requests fail in a rollout if the number comes before the bundle."""
     view = views.View(bundles.public_key_hex(key))
     accept(view, 1, 1, signed(key, 1))
     accept(view, 4, 2)
@@ -69,11 +65,10 @@
     assert view.active_bundle()['number'] == 2
 
 
-def test_a_broken_object_is_not_listed():
-    """One bad value in the store stops every entry process.
+def test_an_invalid_object_is_not_listed():
+    """One invalid object in the store stops every entry process.
 
-    It was listed by name, but had no value, and what goes through the
-    list of upstreams failed on it.
+    Loops over the listed names fail if an object has no value.
     """
     view = views.View()
     view.apply([store.StoredObject('upstream', 'u', 1, {'url': 7})])
