--- a/gentianstair/peers/store_watcher.py
+++ b/gentianstair/peers/store_watcher.py
@@ -90,7 +90,7 @@
         sent_s = self._clock()
         applied = []
         revisions = []
-        for kind in view_module.KINDS:
+        for kind in view_module.WATCHED_KINDS:
             listing = await self._store.list(kind, purpose='config')
             revisions.append(listing.revision)
             applied += self._view.apply(listing.objects)
@@ -105,7 +105,7 @@
         listed_names = {item.name for item in listing.objects}
         return [
             store_module.StoredObject(kind, item.name, listing.revision, None)
-            for item in self._view.live(kind)
+            for item in self._view.live_objects(kind)
             if item.name not in listed_names
             and item.version < listing.revision
         ]
@@ -116,7 +116,10 @@
         await trio.sleep(self._pause_s)
         sent_s = self._clock()
         changes = await self._store.watch(
-            view_module.KINDS, cursor, self._watch_s, purpose='config-watch'
+            view_module.WATCHED_KINDS,
+            cursor,
+            self._watch_s,
+            purpose='config-watch',
         )
         as_of_s = sent_s
         waited_s = FULL_WAIT_SHARE * self._watch_s
--- a/test/entry/test_claims.py
+++ b/test/entry/test_claims.py
@@ -9,7 +9,7 @@
 from gentianstair import verdict
 from gentianstair.entry import claim_shard
 from gentianstair.entry import claims
-from gentianstair.store import budget
+from gentianstair.store import call_budget
 from gentianstair.util import clock
 from standins import memory_store
 from standins.platform import objects
@@ -185,7 +185,7 @@
 ):
     """With fewer store calls than requests, batches grow; none is refused."""
     inner = memory_store.MemoryStore()
-    store = budget.BudgetStore(inner, clock.trio_time_s, 20.0, 10.0)
+    store = call_budget.BudgetStore(inner, clock.trio_time_s, 20.0, 10.0)
     vm_claims = claims.make_claims(
         store, 'vm', clock.trio_time_s, 2, RETENTION_S
     )
