--- a/gentianstair/control/engine_orders.py
+++ b/gentianstair/control/engine_orders.py
@@ -1,5 +1,15 @@
 """Send each engine one order at a time, under the authority of a lease."""
 
+import collections
+import collections.abc
+import contextlib
+import typing
+
+import loguru
+import msgspec
+import prometheus_client
+import trio
+
 from gentianstair import errors
 from gentianstair import verdict
 from gentianstair.control import lease
@@ -10,14 +20,6 @@
 from gentianstair.util import audit
 from gentianstair.util import clock as clocks
 from gentianstair.util import leased_call
-import collections
-import collections.abc
-import contextlib
-import loguru
-import msgspec
-import prometheus_client
-import trio
-import typing
 
 KIND = 'engine-order'
 PURPOSE = 'order'
--- a/gentianstair/control/main.py
+++ b/gentianstair/control/main.py
@@ -1,5 +1,14 @@
 """Run the program gentianstair-control."""
 
+import time
+
+import httpx
+import loguru
+import prometheus_client
+import quart
+import quart_trio
+import trio
+
 from gentianstair import daemon
 from gentianstair import errors
 from gentianstair.config import view as views
@@ -20,13 +29,6 @@
 from gentianstair.upstreams import orders_client
 from gentianstair.util import clock
 from gentianstair.util import serving
-import httpx
-import loguru
-import prometheus_client
-import quart
-import quart_trio
-import time
-import trio
 
 # Time that open HTTP requests have at a stop; also the interval at which the
 # candidates are updated.
