--- a/test/entry/test_decision_invariants.py
+++ b/test/entry/test_decision_invariants.py
@@ -9,7 +9,7 @@
 from gentianstair import verdict
 from gentianstair.bench import twins
 from gentianstair.entry import admission
-from gentianstair.entry import retries
+from gentianstair.entry import retry_policy
 from gentianstair.entry import work
 
 SLOTS = 6
@@ -106,8 +106,8 @@
     attempt, repeatable, outcome
 ):
     error = errors.UpstreamError('x', outcome)
-    policy = retries.make_retries(1)
-    retried = policy.choose(error, 'c', 'u', attempt, repeatable, 9.0).retry
+    policy = retry_policy.make_retry_policy(1)
+    retried = policy.decide(error, 'c', 'u', attempt, repeatable, 9.0).retry
     not_run = outcome is verdict.Verdict.NOT_RUN
     baseline_retried = twins.retry_at_once(attempt, repeatable, not_run)
     if not repeatable and not not_run:
--- a/test/peers/fleet.py
+++ b/test/peers/fleet.py
@@ -1,4 +1,4 @@
-"""Run several nodes in one process on links in memory."""
+"""Run several nodes in one process, linked in memory."""
 
 import contextlib
 import random
@@ -16,8 +16,8 @@
 from standins.platform import objects
 
 
-class FakeList(vm_list.VmList):
-    """A list of VMs that a test writes."""
+class FakeVmList(vm_list.VmList):
+    """The platform's list of VMs, written by tests."""
 
     def __init__(self):
         self.vms = {}
@@ -27,8 +27,8 @@
         return list(self.vms.values())
 
 
-class Running:
-    """One node of a fleet and what belongs to it."""
+class RunningVm:
+    """A node of the fleet with its view, store and cancel scope."""
 
     def __init__(self, node, view, store, scope):
         self.node = node
@@ -38,29 +38,29 @@
 
 
 class Fleet:
-    """Nodes by name on one hub, one store and one list of VMs."""
+    """Nodes that share one hub, one store and one list of VMs."""
 
     def __init__(self, nursery, seed=1, **settings):
         self.nursery = nursery
         self.hub = memory_network.Hub()
         self.table = objects.ObjectTable()
-        self.list = FakeList()
+        self.vm_list = FakeVmList()
         self.running = {}
         self.rng = random.Random(seed)
         self.settings = settings
         self.versions = {}
 
     def start(self, name, domain='a'):
-        """Start a VM; one that had the name is a former incarnation."""
+        """Start a VM, also as a new incarnation of a killed one."""
         address = f'{name}:1'
-        given = {
+        flags = {
             'vm_name': name,
             'failure_domain': domain,
             'platform_url': 'http://127.0.0.1:1',
             'peer_listen': address,
             **{key: str(value) for key, value in self.settings.items()},
         }
-        values = settings_module.collect(generated.ENTRY, given, {})
+        values = settings_module.collect(generated.ENTRY, flags, {})
         view = view_module.View()
         store = memory_store.MemoryStore(self.table)
         node = node_module.make_node(
@@ -69,72 +69,70 @@
             store,
             clock.trio_time_s,
             memory_network.MemoryNetwork(self.hub, address),
-            self.list,
+            self.vm_list,
             random.Random(self.rng.random()),
         )
         scope = trio.CancelScope()
-        self.list.vms[name] = vm_list.Vm(name, address, domain)
-        self.running[name] = Running(node, view, store, scope)
+        self.vm_list.vms[name] = vm_list.Vm(name, address, domain)
+        self.running[name] = RunningVm(node, view, store, scope)
         self.nursery.start_soon(self._run, node, scope)
 
     async def _run(self, node, scope):
         with scope:
             await node.run()
 
-    def start_many(self, number, domains=3):
+    def start_many(self, count, domains=3):
         """Start VMs named v0, v1, ... spread over failure domains."""
-        for index in range(number):
+        for index in range(count):
             self.start(f'v{index}', 'abcdefghij'[index % domains])
 
     def kill(self, name):
-        """Stop a VM as by SIGKILL."""
+        """Stop a VM without notice, as SIGKILL does."""
         self.running.pop(name).scope.cancel()
 
     def write(self, kind, name, value):
         """Write an object to the store."""
         version = self.versions.get((kind, name), 0)
-        made = self.table.write(kind, name, value, version)
-        self.versions[(kind, name)] = made if value is not None else 0
-        return made
+        new_version = self.table.write(kind, name, value, version)
+        self.versions[(kind, name)] = new_version if value is not None else 0
+        return new_version
 
-    def each(self, names=None):
+    def select(self, names=None):
         """Return the running nodes with these names, or all."""
         return [
-            one
-            for name, one in self.running.items()
+            vm
+            for name, vm in self.running.items()
             if names is None or name in names
         ]
 
-    def set_store(self, down, names=None):
-        """Take the store away from nodes, or give it back."""
-        for one in self.each(names):
-            one.store.faults.down = down
+    def set_store_down(self, down, names=None):
+        """Make the store unreachable for nodes, or reachable again."""
+        for vm in self.select(names):
+            vm.store.faults.down = down
 
     async def wait(self, condition, limit_s=30.0, names=None):
         """Wait until condition holds at each node; return the seconds."""
         start_s = trio.current_time()
         with trio.fail_after(limit_s):
-            while not all(condition(one) for one in self.each(names)):
+            while not all(condition(vm) for vm in self.select(names)):
                 await trio.sleep(0.05)
         return trio.current_time() - start_s
 
 
 @contextlib.asynccontextmanager
-async def open_fleet(number, domains=3, **settings):
+async def open_fleet(count, domains=3, **settings):
     """Yield a fleet whose nodes are all fresh."""
     async with trio.open_nursery() as nursery:
         fleet = Fleet(nursery, **settings)
         fleet.write('customer', 'acme', CUSTOMER)
         fleet.write('key', 'k1', key())
-        fleet.start_many(number, domains)
-        await fleet.wait(lambda one: one.node.is_fresh())
-        # The list of VMs names members before they are linked; those heard
-        # of by links have an incarnation.
+        fleet.start_many(count, domains)
+        await fleet.wait(lambda vm: vm.node.is_fresh())
+        # Members known only from the list of VMs have incarnation 0.
         await fleet.wait(
-            lambda one: (
-                one.node.links() > 0
-                and sum(m.incarnation > 0 for m in one.node.members())
-                == number
+            lambda vm: (
+                vm.node.link_count() > 0
+                and sum(m.incarnation > 0 for m in vm.node.members()) == count
             )
         )
         yield fleet
@@ -155,7 +153,11 @@
     return {'customer': 'acme', 'label': 'k', 'revoked': revoked}
 
 
-def accepts(one, digest='k1'):
+def accepts(vm, digest='k1'):
     """Say whether a node would run a request that carries the key."""
-    found = one.view.key(digest)
-    return one.node.is_fresh() and found is not None and not found['revoked']
+    caller_key = vm.view.key(digest)
+    return (
+        vm.node.is_fresh()
+        and caller_key is not None
+        and not caller_key['revoked']
+    )
