--- a/gentianstair/entry/claims.py
+++ b/gentianstair/entry/claims.py
@@ -487,7 +487,7 @@
         found = await self.store.get(KIND, shard.name, purpose=PURPOSE)
         if found.version < shard.version:
             # A stale read: the local copy is newer.
-            raise _ShardError(f'stale read of {shard.name}')
+            raise _ShardError('the store returned a stale read')
         value: messages.ClaimShardValue = {'generation': 0, 'entries': {}}
         if found.value is not None:
             value = _decode(found.value)
