--- a/gentianstair/peers/session.py
+++ b/gentianstair/peers/session.py
@@ -1,4 +1,4 @@
-"""Hold one established link: what waits to be sent, and what was heard."""
+"""Queue outgoing messages of one link and track the state of its peer."""
 
 import collections
 import typing
@@ -11,18 +11,18 @@
 from gentianstair.peers import membership
 from gentianstair.store import store
 
-# Objects in one message; a slow peer gets newer beats between two.
-CHUNK_OBJECTS = 200
-# Messages other than objects that may wait for a slow peer.
-MAX_WAITING = 5000
+# Longer batches of objects are split into several messages.
+MAX_OBJECTS_PER_MESSAGE = 200
+# Queued messages, objects aside, at which a link to a slow peer is closed.
+MAX_QUEUED_MESSAGES = 5000
 
 
 class Session:
     """One link to one peer, from its hello on.
 
-    ``synced`` says that all the peer holds was sent to us on this link: its
-    answer to our hello has ended, and what it learns it sends in order
-    before its next beat. Only then do its beats say anything of our view.
+    ``synced`` is set once the peer has answered our hello with all objects
+    that we lacked. As it sends later objects ahead of its heartbeats, its
+    heartbeats then also tell how recent our own view is.
     """
 
     def __init__(
@@ -35,120 +35,142 @@
         self.channel = channel
         self.peer = peer
         self.dialed = dialed
-        self.heard_s = now_s
+        self.last_received_s = now_s
         self.synced = False
         self.scope = trio.CancelScope()
-        # When the last beat was sent, and how recent the peer's news are
-        # at the least, by what it told us and what we told it.
-        self.beat_s = now_s
-        self.news_s = 0.0
-        # When the newest count of VMs that both ends know of was made.
-        self.count_s = 0.0
+        # When the last heartbeat was sent, and the latest time at which the
+        # peer's view is known to have matched the store.
+        self.heartbeat_sent_s = now_s
+        self.peer_as_of_s = 0.0
+        # Time of the newest survey count that both ends know.
+        self.peer_reached_at_s = 0.0
+        # Digest of the peer's view, and since when it differs from ours.
         self.peer_digest = 0
-        self.differed_s: float | None = None
-        self.members_differed = 0
-        self.answers: dict[str, trio.MemorySendChannel] = {}
-        self._echo: tuple[int, float] | None = None
+        self.differing_since_s: float | None = None
+        # Consecutive heartbeats whose digest of the members differs from ours.
+        self.members_mismatches = 0
+        self.survey_answers: dict[str, trio.MemorySendChannel] = {}
+        # The peer's last timestamp and when it arrived here.
+        self._last_stamp: tuple[int, float] | None = None
         self._objects: dict[tuple[str, str], store.StoredObject] = {}
-        self._finals = 0
-        self._others: collections.deque[link.Message] = collections.deque()
-        self._beat_due = False
+        # Answers whose last message must be marked as final.
+        self._finals_due = 0
+        self._messages: collections.deque[link.Message] = collections.deque()
+        self._heartbeat_due = False
         self._wake = trio.Event()
 
-    def add_objects(
-        self, found: typing.Iterable[store.StoredObject], final: bool = False
+    def queue_objects(
+        self, objects: typing.Iterable[store.StoredObject], final: bool = False
     ) -> None:
-        """Queue objects; a newer version replaces one that still waits."""
-        for item in found:
+        """Queue objects; a newer version replaces a queued one.
+
+        ``final`` ends the answer to a hello or to a repair request.
+        """
+        for item in objects:
             self._objects.pop((item.kind, item.name), None)
             self._objects[(item.kind, item.name)] = item
-        self._finals += final
+        self._finals_due += final
         self._wake.set()
 
-    def add(self, message: link.Message) -> None:
-        """Queue any other message."""
-        if len(self._others) >= MAX_WAITING:
-            # The peer shows life but does not read, and what waits for it
-            # would grow for as long as it does. A new link starts clean.
+    def queue(self, message: link.Message) -> None:
+        """Queue a message other than objects and heartbeats."""
+        if len(self._messages) >= MAX_QUEUED_MESSAGES:
+            # The peer sends but does not read, and the queue would grow
+            # without bound.
             self.scope.cancel()
             return
-        self._others.append(message)
+        self._messages.append(message)
         self._wake.set()
 
-    def ask_beat(self) -> None:
-        """Send a beat once all that waits is out."""
-        self._beat_due = True
+    def request_heartbeat(self) -> None:
+        """Send a heartbeat after all queued messages."""
+        self._heartbeat_due = True
         self._wake.set()
 
-    def has(self, item: store.StoredObject) -> None:
-        """Note that the peer sent this object, so it need not be sent."""
-        waiting = self._objects.get((item.kind, item.name))
-        if waiting is not None and waiting.version <= item.version:
+    def drop_queued(self, item: store.StoredObject) -> None:
+        """Drop an object from the queue that the peer itself has sent."""
+        queued = self._objects.get((item.kind, item.name))
+        if queued is not None and queued.version <= item.version:
             del self._objects[(item.kind, item.name)]
 
-    def heard_beat(
-        self, beat: messages.PeerBeat, now_s: float
-    ) -> freshness.Estimate | None:
-        """Note the peer's stamp; return when the beat was sent."""
-        self._echo = (beat['sent_ms'], now_s)
-        return freshness.estimate(beat.get('echo_ms'), beat.get('held_ms'))
+    def record_heartbeat(
+        self, heartbeat: messages.PeerBeat, now_s: float
+    ) -> freshness.SendTime | None:
+        """Keep the peer's timestamp to echo; return when it was sent."""
+        self._last_stamp = (heartbeat['sent_ms'], now_s)
+        return freshness.earliest_send_time(
+            heartbeat.get('echo_ms'), heartbeat.get('held_ms')
+        )
 
-    def heard_news(
+    def record_peer_freshness(
         self,
-        beat: messages.PeerBeat,
-        sent: freshness.Estimate | None,
+        heartbeat: messages.PeerBeat,
+        send_time: freshness.SendTime | None,
     ) -> None:
-        """Note how recent the peer's own news are."""
-        if sent is not None and 'age_ms' in beat:
-            news_s = sent.sent_after_s - beat['age_ms'] / 1000
-            self.news_s = max(self.news_s, news_s)
+        """Record when the peer's view last matched the store."""
+        if send_time is not None and 'age_ms' in heartbeat:
+            as_of_s = send_time.sent_after_s - heartbeat['age_ms'] / 1000
+            self.peer_as_of_s = max(self.peer_as_of_s, as_of_s)
 
-    def _echoes(self, now_s: float) -> link.Message:
-        if self._echo is None:
+    def _echo_fields(self, now_s: float) -> link.Message:
+        if self._last_stamp is None:
             return {}
-        sent_ms, at_s = self._echo
-        # Rounded down, so that the peer never takes us for fresher.
-        return {'echo_ms': sent_ms, 'held_ms': int((now_s - at_s) * 1000)}
+        sent_ms, received_s = self._last_stamp
+        # Rounded down, so that the peer never overrates our freshness.
+        return {
+            'echo_ms': sent_ms,
+            'held_ms': int((now_s - received_s) * 1000),
+        }
 
     async def write(
         self,
-        make_beat: typing.Callable[[], link.Message],
+        make_heartbeat: typing.Callable[[], link.Message],
         clock: typing.Callable[[], float],
     ) -> None:
         """Send what is queued until cancelled.
 
-        Objects go first and a beat goes last, made when nothing else waits:
-        a beat vouches for the peer having all that is in our view.
+        Objects go first. A heartbeat is built only when the queue is empty,
+        since it tells the peer that it now has all objects of our view.
         """
         while True:
             await self._wake.wait()
             self._wake = trio.Event()
-            while self._objects or self._finals or self._others:
+            while self._objects or self._finals_due or self._messages:
                 await self._write_objects()
-                while self._others:
-                    message = self._others.popleft()
+                while self._messages:
+                    message = self._messages.popleft()
                     await self.channel.send(link.encode(message))
-            if self._beat_due:
-                self._beat_due = False
-                self.beat_s = clock()
-                beat = {**make_beat(), **self._echoes(self.beat_s)}
-                if 'age_ms' in beat:
-                    news_s = self.beat_s - beat['age_ms'] / 1000
-                    self.news_s = max(self.news_s, news_s)
-                if 'reached_age_ms' in beat:
-                    count_s = self.beat_s - beat['reached_age_ms'] / 1000
-                    self.count_s = max(self.count_s, count_s)
-                await self.channel.send(link.encode(beat))
+            if self._heartbeat_due:
+                self._heartbeat_due = False
+                self.heartbeat_sent_s = clock()
+                heartbeat = {
+                    **make_heartbeat(),
+                    **self._echo_fields(self.heartbeat_sent_s),
+                }
+                if 'age_ms' in heartbeat:
+                    as_of_s = (
+                        self.heartbeat_sent_s - heartbeat['age_ms'] / 1000
+                    )
+                    self.peer_as_of_s = max(self.peer_as_of_s, as_of_s)
+                if 'reached_age_ms' in heartbeat:
+                    reached_at_s = (
+                        self.heartbeat_sent_s
+                        - heartbeat['reached_age_ms'] / 1000
+                    )
+                    self.peer_reached_at_s = max(
+                        self.peer_reached_at_s, reached_at_s
+                    )
+                await self.channel.send(link.encode(heartbeat))
 
     async def _write_objects(self) -> None:
-        while self._objects or self._finals:
-            places = list(self._objects)[:CHUNK_OBJECTS]
-            chunk = [self._objects.pop(place)._asdict() for place in places]
-            final = not self._objects and self._finals > 0
+        while self._objects or self._finals_due:
+            keys = list(self._objects)[:MAX_OBJECTS_PER_MESSAGE]
+            batch = [self._objects.pop(key)._asdict() for key in keys]
+            final = not self._objects and self._finals_due > 0
             if final:
-                self._finals = 0
+                self._finals_due = 0
             await self.channel.send(
                 link.encode(
-                    {'type': 'objects', 'objects': chunk, 'final': final}
+                    {'type': 'objects', 'objects': batch, 'final': final}
                 )
             )
--- a/gentianstair/peers/survey.py
+++ b/gentianstair/peers/survey.py
@@ -1,9 +1,9 @@
-"""Count the VMs within reach, and ask them for their revisions.
+"""Count the VMs that can be reached, and collect their revisions.
 
-A survey is a wave over the links: a node that hears of it first asks its
-other links, adds their answers to its own and answers; one that knows the
-survey already answers nought at once. So each VM is counted once, and only
-if bytes pass both ways.
+A survey floods the links. A node that receives it for the first time forwards
+it on its other links, adds up their answers and answers with the sum. A node
+that has seen it answers zero at once. So each VM is counted once, and only if
+messages pass both ways.
 """
 
 import math
@@ -14,16 +14,18 @@
 
 from gentianstair.generated import messages
 from gentianstair.peers import link
-from gentianstair.peers import session
+from gentianstair.peers import session as session_module
 
-# Share of the time left that one hop leaves to the hops behind it.
-HOP_SHARE = 0.8
-REMEMBERED = 256
-MAX_LEFT_MS = 10000
+# Share of its own timeout that a node gives to the nodes behind it.
+HOP_TIMEOUT_SHARE = 0.8
+# Survey ids kept to recognise repeated ones.
+MAX_REMEMBERED_SURVEYS = 256
+# Limit on the timeout that a peer may ask for.
+MAX_TIMEOUT_MS = 10000
 
 
 class Result(typing.NamedTuple):
-    """How many VMs answered, this one included, and what they said."""
+    """Number of VMs reached, this one included, and their revisions."""
 
     reached: int
     revisions: dict[str, int]
@@ -36,89 +38,93 @@
         self,
         name: str,
         revision: typing.Callable[[], int],
-        sessions: typing.Callable[[], list[session.Session]],
+        sessions: typing.Callable[[], list[session_module.Session]],
     ) -> None:
         self._name = name
         self._revision = revision
         self._sessions = sessions
         self._seen: dict[str, None] = {}
 
-    async def start(self, timeout_s: float, revisions: bool) -> Result:
-        """Run a survey from here."""
+    async def run(self, timeout_s: float, revisions: bool) -> Result:
+        """Run a survey from this node and return its result."""
         survey_id = f'{self._name}/{secrets.token_hex(6)}'
         self._remember(survey_id)
-        return await self._ask(survey_id, timeout_s, revisions, None)
+        return await self._flood(survey_id, timeout_s, revisions, None)
 
     async def answer(
-        self, asker: session.Session, survey: messages.PeerSurvey
+        self, requester: session_module.Session, survey: messages.PeerSurvey
     ) -> None:
-        """Answer a survey that came on a link."""
+        """Answer a survey received on a link."""
         survey_id = survey['survey_id']
         if survey_id in self._seen:
-            found = Result(0, {})
+            result = Result(0, {})
         else:
             self._remember(survey_id)
-            left_ms = min(survey['left_ms'], MAX_LEFT_MS)
-            left_s = max(0, left_ms) / 1000 * HOP_SHARE
-            wanted = survey['revisions']
-            found = await self._ask(survey_id, left_s, wanted, asker)
-        asker.add(
+            timeout_ms = min(survey['left_ms'], MAX_TIMEOUT_MS)
+            timeout_s = max(0, timeout_ms) / 1000 * HOP_TIMEOUT_SHARE
+            with_revisions = survey['revisions']
+            result = await self._flood(
+                survey_id, timeout_s, with_revisions, requester
+            )
+        requester.queue(
             {
                 'type': 'survey_answer',
                 'survey_id': survey_id,
-                'reached': found.reached,
-                'revisions': found.revisions,
+                'reached': result.reached,
+                'revisions': result.revisions,
             }
         )
 
     def _remember(self, survey_id: str) -> None:
         self._seen[survey_id] = None
-        while len(self._seen) > REMEMBERED:
+        while len(self._seen) > MAX_REMEMBERED_SURVEYS:
             del self._seen[next(iter(self._seen))]
 
-    async def _ask(
+    async def _flood(
         self,
         survey_id: str,
-        left_s: float,
-        wanted: bool,
-        asker: session.Session | None,
+        timeout_s: float,
+        with_revisions: bool,
+        requester: session_module.Session | None,
     ) -> Result:
         reached = 1
-        revisions = {self._name: self._revision()} if wanted else {}
-        asked = [one for one in self._sessions() if one is not asker]
+        revisions = {self._name: self._revision()} if with_revisions else {}
+        forwarded_to = [
+            session for session in self._sessions() if session is not requester
+        ]
         send, receive = trio.open_memory_channel(math.inf)
-        for one in asked:
-            one.answers[survey_id] = send
-            one.add(
+        for session in forwarded_to:
+            session.survey_answers[survey_id] = send
+            session.queue(
                 {
                     'type': 'survey',
                     'survey_id': survey_id,
-                    'left_ms': int(left_s * 1000),
-                    'revisions': wanted,
+                    'left_ms': int(timeout_s * 1000),
+                    'revisions': with_revisions,
                 }
             )
-        with trio.move_on_after(left_s):
-            for _ in asked:
-                found = await receive.receive()
-                reached += found['reached']
-                revisions.update(found['revisions'])
-        for one in asked:
-            one.answers.pop(survey_id, None)
+        with trio.move_on_after(timeout_s):
+            for _ in forwarded_to:
+                answer = await receive.receive()
+                reached += answer['reached']
+                revisions.update(answer['revisions'])
+        for session in forwarded_to:
+            session.survey_answers.pop(survey_id, None)
         return Result(reached, revisions)
 
     @staticmethod
-    def take_answer(
-        source: session.Session, answer: messages.PeerSurveyAnswer
+    def handle_answer(
+        session: session_module.Session, answer: messages.PeerSurveyAnswer
     ) -> None:
-        """Hand an answer to the survey that waits for it, if still so."""
-        send = source.answers.pop(answer['survey_id'], None)
+        """Pass an answer to its survey, if that still waits."""
+        send = session.survey_answers.pop(answer['survey_id'], None)
         if send is not None:
             send.send_nowait(answer)
 
 
-def lost_link(source: session.Session) -> None:
-    """Count the part behind a broken link as nought, at once."""
-    answers = dict(source.answers)
-    source.answers.clear()
+def answer_for_lost_link(session: session_module.Session) -> None:
+    """Answer open surveys with zero for a link that was lost."""
+    answers = dict(session.survey_answers)
+    session.survey_answers.clear()
     for send in answers.values():
         send.send_nowait(link.Message(reached=0, revisions={}))
--- a/gentianstair/util/connections.py
+++ b/gentianstair/util/connections.py
@@ -1,4 +1,4 @@
-"""Know of each caller's connection why it ended, and who ended it."""
+"""Track each caller's connection, why it ended and who closed it."""
 
 import enum
 import time
@@ -9,10 +9,10 @@
 
 from gentianstair.generated import events
 
-# Under this name a request's ASGI state holds its connection.
+# Key of the connection in the state of a request's ASGI scope.
 STATE_KEY = 'gentianstair.connection'
 
-ENDED = prometheus_client.Counter(
+CONNECTIONS_ENDED = prometheus_client.Counter(
     'gentianstair_connections_ended',
     'Connections of callers by what ended them',
     ['end', 'under_way'],
@@ -20,153 +20,166 @@
 
 
 class Side(enum.Enum):
-    """Who closed a connection."""
+    """Which side closed a connection."""
 
     PROCESS = 'this process'
     CALLER = 'the caller'
 
 
-class End(enum.Enum):
-    """What ended a connection."""
+class EndReason(enum.Enum):
+    """Why a connection ended; the values are logged and counted."""
 
-    KEEP_ALIVE_OVER = 'keep-alive-over'
-    # A planned stop; the last answer had not said that it would close.
+    KEEP_ALIVE_EXPIRED = 'keep-alive-over'
+    # Shutdown; the last response did not announce ``Connection: close``.
     STOP = 'stop'
-    GRACE_OVER = 'grace-over'
-    # Cut with all others: the process ended, with no grace left to wait for.
+    GRACE_EXPIRED = 'grace-over'
+    # The process exited without waiting for the grace period.
     PROCESS_ENDED = 'process-ended'
-    CALLER_ENDED = 'caller-ended'
+    CALLER_CLOSED = 'caller-ended'
     CALLER_RESET = 'caller-reset'
-    # One request of an HTTP/2 connection, which itself goes on.
+    # One HTTP/2 stream was reset; its connection stays open.
     STREAM_RESET = 'stream-reset'
     SEND_STALL = 'send-stall'
-    NO_HANDSHAKE = 'no-handshake'
-    NO_HTTP = 'no-http'
-    # Either side said so in HTTP/2, or it was broken.
-    HTTP2_OVER = 'http2-over'
-    AS_TOLD = 'as-told'
-    # Answered before the request's body had been read.
+    HANDSHAKE_FAILED = 'no-handshake'
+    INVALID_HTTP = 'no-http'
+    # Closed by either side, or after a protocol error.
+    HTTP2_CLOSED = 'http2-over'
+    CLOSE_ANNOUNCED = 'as-told'
+    # The response was complete before the request body had been read.
     BODY_UNREAD = 'body-unread'
-    # The application broke its answer off, so that it looks cut.
-    ANSWER_CUT = 'answer-cut'
+    # The application aborted a response that had not been completed.
+    RESPONSE_ABORTED = 'answer-cut'
     FAULT = 'fault'
 
     @property
     def closed_by(self) -> Side:
-        """Return who closed the connection."""
+        """Return which side closed the connection."""
         return Side.CALLER if self in _BY_CALLER else Side.PROCESS
 
 
 _BY_CALLER = frozenset(
-    {End.CALLER_ENDED, End.CALLER_RESET, End.STREAM_RESET, End.HTTP2_OVER}
+    {
+        EndReason.CALLER_CLOSED,
+        EndReason.CALLER_RESET,
+        EndReason.STREAM_RESET,
+        EndReason.HTTP2_CLOSED,
+    }
 )
 
 
 class Connection:
-    """One connection of a caller, from its first byte to its end."""
+    """The state of one caller's connection, for logs and metrics."""
 
     __slots__ = (
-        'end',
+        'end_reason',
         'request_id',
-        'requests',
-        '_began_s',
+        'request_count',
+        '_request_began_s',
         '_ended_s',
         '_idle_since_s',
-        '_is_cut',
+        '_is_aborted',
         '_opened_s',
-        '_running',
-        '_under_way',
+        '_active_requests',
+        '_in_flight',
     )
 
     def __init__(self) -> None:
-        self.end: End | None = None
-        # Of the last request, once it is known.
+        self.end_reason: EndReason | None = None
+        # Of the latest request; empty until it is known.
         self.request_id = ''
-        self.requests = 0
+        self.request_count = 0
         self._opened_s = self._idle_since_s = time.monotonic()
-        self._began_s = self._ended_s = self._opened_s
-        self._running = 0
-        self._under_way = False
-        self._is_cut = False
+        self._request_began_s = self._ended_s = self._opened_s
+        self._active_requests = 0
+        self._in_flight = False
+        self._is_aborted = False
 
     @property
-    def is_under_way(self) -> bool:
-        """Return whether a request has no whole answer yet."""
-        return self._under_way
+    def has_request_in_flight(self) -> bool:
+        """Return whether a request has no complete response yet."""
+        return self._in_flight
 
     @property
     def is_closed_here(self) -> bool:
-        """Return whether this process is known to have closed it."""
-        return self.end is not None and self.end.closed_by is Side.PROCESS
+        """Return whether this process closed the connection."""
+        return (
+            self.end_reason is not None
+            and self.end_reason.closed_by is Side.PROCESS
+        )
 
-    def read(self) -> None:
+    def note_head(self) -> None:
         """Note that the head of a request has been read."""
-        if not self._under_way:
-            self._began_s = time.monotonic()
+        if not self._in_flight:
+            self._request_began_s = time.monotonic()
 
-    def begin(self) -> None:
-        """Note that the application has been given a request."""
-        self.requests += 1
+    def note_request(self) -> None:
+        """Note that a request has been passed to the application."""
+        self.request_count += 1
         self.request_id = ''
-        self._running += 1
-        self._under_way = True
+        self._active_requests += 1
+        self._in_flight = True
 
-    def leave(self, is_stream: bool) -> None:
-        """Note that the application is done with a request.
+    def note_handler_exit(self, is_stream: bool) -> None:
+        """Note that the application has finished handling a request.
 
-        The protocol tells of whole answers, but not of a stream of HTTP/2
-        that its caller has reset.
+        The protocol reports complete responses, but not HTTP/2 streams
+        that the caller has reset.
         """
-        self._running -= 1
-        if is_stream and self.end is None and not self._running:
-            self.answered()
-
-    def answered(self) -> None:
-        """Note that all requests so far have their whole answers."""
-        if self._under_way and not self._is_cut:
-            self._under_way = False
+        self._active_requests -= 1
+        if is_stream and self.end_reason is None and not self._active_requests:
+            self.note_responses_sent()
+
+    def note_responses_sent(self) -> None:
+        """Note that all requests so far have complete responses."""
+        if self._in_flight and not self._is_aborted:
+            self._in_flight = False
             self._idle_since_s = time.monotonic()
 
-    def note(self, end: End) -> None:
-        """Note what ends the connection; what is noted first stands."""
-        if self.end is None:
-            self.end = end
+    def note_end(self, end: EndReason) -> None:
+        """Note why the connection ends; the first reason noted is kept."""
+        if self.end_reason is None:
+            self.end_reason = end
             self._ended_s = time.monotonic()
 
-    def cut(self, end: End) -> None:
-        """Note an end after which no answer can become whole."""
-        self.note(end)
-        self._is_cut = True
+    def note_abort(self, end: EndReason) -> None:
+        """Note an end after which no response can be completed."""
+        self.note_end(end)
+        self._is_aborted = True
 
-    def fail(self, end: End) -> None:
-        """Note what the connection's own task ended with.
+    def note_failure(self, end: EndReason) -> None:
+        """Note why the connection's task failed.
 
-        A fault cancels the connection's requests first, and they note that
-        they were cut as if by a fault elsewhere.
+        A fault in the task first cancels its requests, which then note
+        PROCESS_ENDED; the fault replaces that reason.
         """
-        if end is End.FAULT and self.end is End.PROCESS_ENDED:
-            self.end = end
-        self.note(end)
-
-    def tell(self) -> None:
-        """Count the end, and log it if a request was under way."""
-        # Each way out of a connection's task notes an end.
-        end = self.end or End.FAULT
-        ENDED.labels(end.value, 'yes' if self._under_way else 'no').inc()
-        if not self._under_way:
+        if (
+            end is EndReason.FAULT
+            and self.end_reason is EndReason.PROCESS_ENDED
+        ):
+            self.end_reason = end
+        self.note_end(end)
+
+    def report(self) -> None:
+        """Count the end, and log it if a request was in flight."""
+        # Every exit path notes a reason; FAULT covers a missing one.
+        end = self.end_reason or EndReason.FAULT
+        CONNECTIONS_ENDED.labels(
+            end.value, 'yes' if self._in_flight else 'no'
+        ).inc()
+        if not self._in_flight:
             return
-        # The time under way is negative where the end was decided before
-        # the request was read.
+        # ``under_way_s`` is the time from the request to the end; it is
+        # negative if the end was decided before the request was read.
         loguru.logger.bind(
             event=events.CONNECTION_CUT,
             request_id=self.request_id,
             end=end.value,
             closed_by=end.closed_by.value,
-            requests=self.requests,
+            requests=self.request_count,
             age_s=round(self._ended_s - self._opened_s, 3),
-            idle_s=round(self._began_s - self._idle_since_s, 3),
-            under_way_s=round(self._ended_s - self._began_s, 6),
-        ).info('a connection ended under a request: {}', end.value)
+            idle_s=round(self._request_began_s - self._idle_since_s, 3),
+            under_way_s=round(self._ended_s - self._request_began_s, 6),
+        ).info('connection ended with a request in flight: {}', end.value)
 
 
 def of_scope(scope: typing.Mapping[str, typing.Any]) -> Connection:
@@ -175,8 +188,8 @@
     return found if found is not None else Connection()
 
 
-def requests_cut(end: End) -> int:
-    """Return how many connections ended so under a request."""
+def count_cut(end: EndReason) -> int:
+    """Count connections that ended for a reason with a request in flight."""
     labels = {'end': end.value, 'under_way': 'yes'}
     name = 'gentianstair_connections_ended_total'
     found = prometheus_client.REGISTRY.get_sample_value(name, labels)
--- a/gentianstair/util/usage_rows.py
+++ b/gentianstair/util/usage_rows.py
@@ -1,30 +1,30 @@
-"""Add and compare rows of usage."""
+"""Sum and subtract usage rows."""
 
 import collections.abc
 
 from gentianstair.generated import messages
 
 Key = tuple[int, str, str]
-COUNTS = ('requests', 'prompt_tokens', 'output_tokens')
+COUNT_FIELDS = ('requests', 'prompt_tokens', 'output_tokens')
 
 
 def key_of(row: messages.UsageRow) -> Key:
-    """Return what tells rows apart."""
+    """Return the key of a row."""
     return row['window'], row['customer'], row['upstream_kind']
 
 
-def by_key(
+def sum_by_key(
     rows: collections.abc.Iterable[messages.UsageRow],
 ) -> dict[Key, messages.UsageRow]:
-    """Return rows by their key, added up where several share one."""
+    """Return rows by key, summing rows with the same key."""
     found: dict[Key, messages.UsageRow] = {}
     for row in rows:
         known = found.get(key_of(row))
-        found[key_of(row)] = row if known is None else plus(known, row)
+        found[key_of(row)] = row if known is None else add(known, row)
     return found
 
 
-def plus(
+def add(
     first: messages.UsageRow, second: messages.UsageRow
 ) -> messages.UsageRow:
     """Return the sum of two rows with the same key."""
@@ -36,10 +36,10 @@
     }
 
 
-def minus(
+def subtract(
     first: messages.UsageRow, second: messages.UsageRow | None
 ) -> messages.UsageRow:
-    """Return what first has above second, never below zero."""
+    """Return first minus second, with counts of at least zero."""
     if second is None:
         return first
     return {
@@ -55,7 +55,7 @@
 
 
 def is_empty(row: messages.UsageRow) -> bool:
-    """Return whether a row counts nothing."""
+    """Return whether all counts of a row are zero."""
     return not (
         row['requests'] or row['prompt_tokens'] or row['output_tokens']
     )
--- a/test/entry/test_hedging.py
+++ b/test/entry/test_hedging.py
@@ -82,11 +82,11 @@
         attempted.append(tried.name)
         is_slow = len(attempted) <= slow_attempts
         await trio.sleep(30.0 if is_slow else FAST_LATENCY_S)
-        self.reply = services.Reply(200, [], tried.name.encode())
+        self.response = services.ServiceResponse(200, [], tried.name.encode())
         return services.streams.Usage()
 
-    monkeypatch.setattr(services.Relay, 'attempt', attempt)
-    call = services.Call('stock', '/a', method, [], b'', None)
+    monkeypatch.setattr(services.ServiceRelay, 'attempt', attempt)
+    call = services.ServiceCall('stock', '/a', method, [], b'', None)
     caller = callers.Caller('c', 'digest')
     item = work.Work('r', 'c', 'stock', 1, 1, 1e6, repeatable=call.repeatable)
     request = requests.Request('r', caller, item, None)
@@ -109,9 +109,9 @@
         await trio.sleep(1.0)
         raise errors.UpstreamError('lost', verdicts[tried.name == 's2'])
 
-    monkeypatch.setattr(services.Relay, 'attempt', attempt)
+    monkeypatch.setattr(services.ServiceRelay, 'attempt', attempt)
     monkeypatch.setattr(retry_policy, 'MAX_ATTEMPTS', 1)
-    call = services.Call('stock', '/a', 'GET', [], b'', None)
+    call = services.ServiceCall('stock', '/a', 'GET', [], b'', None)
     caller = callers.Caller('c', 'digest')
     item = work.Work('r', 'c', 'stock', 1, 1, 1e6)
     request = requests.Request('r', caller, item, None)
--- a/test/platform/test_settings.py
+++ b/test/platform/test_settings_file.py
@@ -1,14 +1,14 @@
-"""Test that the settings file is read whole and complained of in a line."""
+"""Test the decoding and the error messages of the settings file."""
 
 import pytest
 
 from gentianstair import errors
-from gentianstair.platform import settings
+from gentianstair.platform import settings_file
 from test.gateway import samples
 
 
-def test_units_and_names():
-    found = settings.decode(samples.settings())
+def test_fields_and_units_are_translated():
+    found = settings_file.decode(samples.settings())
     assert found.vm == 'front-a-1'
     assert found.failure_domain == 'a'
     assert found.replica_heartbeat_s == 1.2
@@ -22,7 +22,9 @@
 
 def test_unknown_fields_are_ignored():
     text = 'novel = 1\n' + samples.settings() + '\n[later]\nx = [1, 2]\n'
-    assert settings.decode(text) == settings.decode(samples.settings())
+    assert settings_file.decode(text) == settings_file.decode(
+        samples.settings()
+    )
 
 
 @pytest.mark.parametrize(
@@ -42,10 +44,10 @@
         ('= 10', '=', 'settings file'),
     ],
 )
-def test_bad_settings(old, new, named):
+def test_invalid_setting_is_named_in_one_line(old, new, named):
     text = samples.settings()
     assert old in text
     with pytest.raises(errors.SettingsError) as caught:
-        settings.decode(text.replace(old, new))
+        settings_file.decode(text.replace(old, new))
     assert named in str(caught.value)
     assert '\n' not in str(caught.value)
