--- a/gentianstair/entry/handler.py
+++ b/gentianstair/entry/handler.py
@@ -1,5 +1,14 @@
 """Serve one relayed request, from authentication to the response."""
 
+import collections.abc
+import re
+import typing
+import uuid
+
+import loguru
+import prometheus_client
+import trio
+
 from gentianstair import errors
 from gentianstair import verdict as verdicts
 from gentianstair.core import exchange as exchanges
@@ -14,13 +23,6 @@
 from gentianstair.entry import streams
 from gentianstair.entry import work as works
 from gentianstair.util import prefix_hashing
-import collections.abc
-import loguru
-import prometheus_client
-import re
-import trio
-import typing
-import uuid
 
 _REQUEST_ID = re.compile(r'[A-Za-z0-9._-]{1,64}')
 # Retry-After of requests refused while the configuration is not fresh.
--- a/gentianstair/entry/main.py
+++ b/gentianstair/entry/main.py
@@ -1,5 +1,14 @@
 """Run the program gentianstair-entry."""
 
+import functools
+import time
+import typing
+
+import loguru
+import quart
+import quart_trio
+import trio
+
 from gentianstair import daemon
 from gentianstair import errors
 from gentianstair.config import view as views
@@ -25,13 +34,6 @@
 from gentianstair.util import clock
 from gentianstair.util import serving
 from gentianstair.util import tls
-import functools
-import loguru
-import quart
-import quart_trio
-import time
-import trio
-import typing
 
 # How long the operator listener waits for its requests at shutdown.
 OPERATOR_DRAIN_TIMEOUT_S = 1.0
--- a/gentianstair/entry/usage.py
+++ b/gentianstair/entry/usage.py
@@ -1,16 +1,18 @@
 """Count the usage of customers and write the counts to the store."""
 
-from gentianstair import errors
-from gentianstair.generated import messages
-from gentianstair.store import settled
-from gentianstair.store import store as stores
-from gentianstair.util import usage_rows
 import collections.abc
 import contextlib
+import typing
+
 import msgspec
 import prometheus_client
 import trio
-import typing
+
+from gentianstair import errors
+from gentianstair.generated import messages
+from gentianstair.store import settled
+from gentianstair.store import store as stores
+from gentianstair.util import usage_rows
 
 KIND = 'usage'
 SEAL_KIND = 'usage-seal'
--- a/test/entry/test_cut_connections.py
+++ b/test/entry/test_cut_connections.py
@@ -1,13 +1,15 @@
 """Test which side an entry records as closing a connection."""
 
+import time
+import types
+
+import pytest
+import trio
+
 from gentianstair.core import exchange as exchanges
 from gentianstair.entry import explain
 from gentianstair.entry import handler as handlers
 from gentianstair.util import connections
-import pytest
-import time
-import trio
-import types
 
 EndReason = connections.EndReason
 
@@ -42,7 +44,8 @@
             444,
         ),
         (
-            raise_disconnected, EndReason.SEND_STALL,
+            raise_disconnected,
+            EndReason.SEND_STALL,
             [('closed-here', 'send-stall')],
             444,
         ),
