--- a/gentianstair/control/role_duty.py
+++ b/gentianstair/control/role_duty.py
@@ -1,4 +1,4 @@
-"""Collect demand and engine state for the role planner, order its changes."""
+"""Plan the roles of engines from their demand, and order the changes."""
 
 import typing
 
@@ -20,8 +20,8 @@
 # State of an engine that did not respond; the planner counts any state other
 # than serving as changing.
 UNREACHABLE = 'gone'
-# Bounds the requests passed to a planner per run; if more were served, each
-# one passed stands for several.
+# Bounds the samples passed to a planner per run; if more requests were
+# served, each sample stands for several.
 MAX_SAMPLES = 500
 
 
--- a/gentianstair/control/usage_sealer.py
+++ b/gentianstair/control/usage_sealer.py
@@ -299,5 +299,5 @@
     clock: clocks.Clock,
     timing: SealTiming,
 ) -> Sealer:
-    """Return a sealer; wall returns seconds since 1970."""
+    """Return a sealer; wall_clock returns seconds since 1970."""
     return Sealer(store, sender, wall_clock, clock, timing)
--- a/gentianstair/core/exchange.py
+++ b/gentianstair/core/exchange.py
@@ -84,7 +84,7 @@
     def header(self, name: str) -> str | None:
         """Return a header's value, or None.
 
-        Raise RequestError if it is given more than once, as two readers
+        Raise RequestError if it is given more than once, as two parsers
         could use different values.
         """
         wanted_name = name.encode()
--- a/gentianstair/gateway/autoscaling.py
+++ b/gentianstair/gateway/autoscaling.py
@@ -20,8 +20,6 @@
 ORDER_TIMEOUT_S = 4.0
 # Delay before the next order where no replica was available.
 UNAVAILABLE_RETRY_S = 1.5
-
-
 # A replica counts as warm after this time: it then caches the prefixes that
 # are in demand.
 WARMUP_S = 6.0
--- a/gentianstair/gateway/cache_updates.py
+++ b/gentianstair/gateway/cache_updates.py
@@ -15,7 +15,7 @@
 
 # Shorter parts are not forwarded: prefilling them takes less time.
 MIN_SHARED_TOKENS = 500
-# Number of parts, of all replicas, that each log holds for new readers.
+# Maximum number of parts, over all replicas, that each log holds.
 MAX_LOGGED_PARTS = 20000
 
 
--- a/gentianstair/gateway/cache_watch.py
+++ b/gentianstair/gateway/cache_watch.py
@@ -17,11 +17,11 @@
 # Long-poll timeout at the replica. The platform counts shorter ones as
 # probes.
 POLL_TIMEOUT_S = 1.0
-# Added to it, the longest wait for an answer.
+# Time after POLL_TIMEOUT_S in which the response must arrive.
 RESPONSE_GRACE_S = 0.8
 # Pause after a failed call.
 RETRY_PAUSE_S = 0.5
-# Pause between calls, so that one answer returns several changes.
+# Pause between calls, so that one response returns several changes.
 BATCH_PAUSE_S = 0.2
 # The same in a large fleet, where VMs forward changes to each other: the
 # calls for all of a VM's replicas are a large part of its work.
@@ -133,7 +133,7 @@
 
 
 async def _call(node: nodes.Node, request: httpx.Request) -> bytes:
-    """Return the body of a replica's answer; raise DecodeError if none."""
+    """Return the body of a replica's response; raise DecodeError if none."""
     with trio.move_on_after(POLL_TIMEOUT_S + RESPONSE_GRACE_S):
         response = await node.transport.handle_async_request(request)
         try:
--- a/gentianstair/gateway/catalog.py
+++ b/gentianstair/gateway/catalog.py
@@ -23,7 +23,7 @@
     kind: CallKind
     # The deadline of a request, from its arrival.
     timeout_s: float
-    # The latency objective: to the answer, or to a stream's first event.
+    # The latency objective: to the response, or to a stream's first event.
     objective_s: float
     # The latency objective between two events of a stream.
     max_pause_s: float
@@ -56,7 +56,7 @@
     kv_tokens: int
     kv_token_bytes: int
     link_mbps: float
-    # How long a replica holds a KV cache that nobody takes.
+    # How long a replica holds a KV cache that no other replica fetches.
     kv_hold_s: float
     stage_change_s: float
     models: tuple[str, ...]
--- a/gentianstair/gateway/change_log.py
+++ b/gentianstair/gateway/change_log.py
@@ -44,7 +44,7 @@
             self._latest.popitem(last=False)
 
     def drop(self, key: Key) -> None:
-        """Remove a key without a change that readers see."""
+        """Remove a key; its removal is not logged as a change."""
         self._latest.pop(key, None)
 
     def since(self, position: int) -> list[tuple[Key, Value]]:
--- a/gentianstair/gateway/deployment.py
+++ b/gentianstair/gateway/deployment.py
@@ -26,7 +26,7 @@
     # Length of a usage reporting window, and how late its report may be.
     usage_window_s: float
     usage_late_s: float
-    # The file's ``retry_after_s``; the gateway does not use it.
+    # Read from the file; the gateway does not use it.
     retry_after_s: float
 
 
--- a/gentianstair/gateway/hub_client.py
+++ b/gentianstair/gateway/hub_client.py
@@ -18,17 +18,17 @@
 
 # How often a leaf sends its load and gets the feed in return.
 REPORT_INTERVAL_S = 0.25
-# Timeout of the hub's answer to a report.
+# Timeout of the hub's feed in response to a report.
 RESPONSE_TIMEOUT_S = 0.5
 OPEN_TIMEOUT_S = 0.6
-# How long a hub that failed, or that lost the store, is passed over.
+# How long a hub that failed, or that lost the store, is avoided.
 HUB_COOLDOWN_S = 4.0
 # A leaf changes to another hub if the store last answered its hub longer ago
 # than this. Together with RESPONSE_TIMEOUT_S it must be less than the two
 # seconds within which a draining replica may still get new work, and it must
 # be more than the timeout of a hub's watch.
 MAX_STORE_AGE_S = 0.9
-# Pause while no hub is received, or all of them are passed over.
+# Pause while no hub is known, or all of them have failed recently.
 HUB_RETRY_S = 0.5
 
 
@@ -44,7 +44,7 @@
         self._node = node
         self._network = network
         self._updates = updates
-        # Until when each hub is passed over, by VM name.
+        # Until when each hub is avoided, by VM name.
         self._avoided_until_s: dict[str, float] = {}
 
     async def run(self) -> None:
@@ -52,7 +52,7 @@
         while True:
             hub = self._choose_hub()
             if hub is not None and self._is_avoided(hub):
-                # All hubs failed lately, as in an outage of the store.
+                # All hubs failed recently, as in an outage of the store.
                 # Without a pause the leaf would open hundreds of links a
                 # second.
                 await trio.sleep(HUB_RETRY_S)
@@ -66,7 +66,7 @@
         return self._avoided_until_s.get(hub.name, 0.0) > self._node.clock()
 
     def _choose_hub(self) -> hubs.Vm | None:
-        """Return the hub to link to, None if this VM needs or knows none."""
+        """Return the hub to link to; None for a hub, or if none is known."""
         roster = self._node.roster
         if roster.is_hub():
             return None
@@ -76,7 +76,7 @@
         )
         return min(
             preferred,
-            # If all are passed over, the one whose cooldown ends first.
+            # If all are avoided, the one whose cooldown ends first.
             key=lambda hub: max(
                 now_s, self._avoided_until_s.get(hub.name, 0.0)
             ),
--- a/gentianstair/gateway/leader_tasks.py
+++ b/gentianstair/gateway/leader_tasks.py
@@ -33,9 +33,9 @@
 COUNTS_WRITTEN_S = 1.0
 # Time reserved for sealing and reporting.
 REPORT_RESERVE_S = 2.5
-# Windows whose seals are kept after they were reported.
+# Number of reported windows whose seals are kept.
 MAX_KEPT_SEALS = 8
-# Added to the lease duration for which a leader rests after its lease.
+# The cooldown after a leader's lease is its duration plus this margin.
 COOLDOWN_MARGIN_S = 0.5
 
 
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -66,6 +66,7 @@
 # How long idle connections to replicas are kept; shorter than the keep-alive
 # timeout of any replica that does not announce one.
 REPLICA_IDLE_TIMEOUT_S = 1.0
+# Grace period of the servers of the readiness check and the metrics.
 READY_GRACE_S = 0.1
 # Pause before failed background work is restarted.
 FAULT_BACKOFF_S = 1.0
--- a/gentianstair/gateway/members.py
+++ b/gentianstair/gateway/members.py
@@ -24,7 +24,7 @@
 # Shortest interval between heartbeats. Usage counted after the last one is
 # lost if the process is killed.
 MIN_HEARTBEAT_INTERVAL_S = 1.0
-# Heartbeats of the whole fleet a second. Each call to the store is charged;
+# Heartbeats per second of the whole fleet. Each call to the store is charged;
 # in a large fleet each VM counts a small part of the usage.
 MAX_HEARTBEATS_PER_S = 15.0
 # Share of the store's write rate that all heartbeats together may use.
@@ -39,7 +39,7 @@
 # reported by then.
 RECORD_RETENTION_S = 60.0
 # Number of processes assumed before the first listing. Limits are divided
-# by it, so it is rather too high.
+# by it, so the assumption is high.
 ASSUMED_MEMBERS = 16
 
 
--- a/gentianstair/gateway/node.py
+++ b/gentianstair/gateway/node.py
@@ -58,7 +58,7 @@
     transport: transports.Transport
     store: stores.Store
     usage_counter: usage_counter.UsageCounter
-    # Set at a planned stop; responses then close their connections.
+    # Set when a shutdown begins; responses then close their connections.
     draining: trio.Event
     grace_period: grace_period.GracePeriod
     # Runs tasks that outlive a request, such as freeing a KV cache.
--- a/gentianstair/gateway/peer_links.py
+++ b/gentianstair/gateway/peer_links.py
@@ -1,7 +1,7 @@
 """Keep the links between hubs, and serve the leaves that link to this hub.
 
 Hubs send each other their load. A VM that the store refuses, while it
-answers others, asks its peers for the configuration and the replicas.
+answers others, queries its peers for the configuration and the replicas.
 """
 
 import math
@@ -32,8 +32,8 @@
 # With more peers than this the interval grows in proportion, which bounds
 # the messages that a VM sends a second.
 FULL_RATE_PEERS = 16
-# A VM that the store has not answered for this long asks its peers. It is
-# longer than a watch that times out.
+# A VM that the store has not answered for this long queries its peers.
+# Longer than the timeout of a watch.
 STORE_OUTAGE_S = 2.4
 # Pause between queries to peers. A new configuration must be in force on
 # all VMs within seconds, also on one that the store refuses.
@@ -122,7 +122,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._send_loads, channel)
                 try:
-                    # The peer sends only answers to queries on this link.
+                    # The peer sends only replies to queries on this link.
                     await self._receive(channel, math.inf)
                 finally:
                     nursery.cancel_scope.cancel()
@@ -209,6 +209,7 @@
         )
 
     def _make_reply(self, known_version: int) -> messages.GatewayNews:
+        """Return the reply to a query; its type on the wire is 'news'."""
         node = self._node
         reply: messages.GatewayNews = {
             'version': link.PROTOCOL_VERSION,
--- a/gentianstair/gateway/placement.py
+++ b/gentianstair/gateway/placement.py
@@ -1,6 +1,6 @@
 """Choose replicas by the estimated cost of serving a request there.
 
-Plain calls go to the least loaded replica. A prompt goes to a replica that
+Unary requests go to the least loaded replica. A prompt goes to a replica that
 holds its prefix in the KV cache, unless waiting there takes longer than
 computing the prefix elsewhere. Either a prefill replica computes the prompt
 and its KV cache is transferred to a decode replica, or the decode replica
@@ -107,13 +107,13 @@
     def __init__(
         self,
         failure_domain: str,
-        load: replica_load.LoadTracker,
+        load_tracker: replica_load.LoadTracker,
         index: prefix_index.PrefixIndex,
         costs: prefill_costs.PrefillCosts,
         rng: random.Random,
     ) -> None:
         self._failure_domain = failure_domain
-        self._load = load
+        self._load_tracker = load_tracker
         self._index = index
         self._costs = costs
         self._random = rng
@@ -121,10 +121,10 @@
     def choose_unary(
         self, candidates: list[replicas.Replica]
     ) -> replicas.Replica | None:
-        """Return the least loaded replica of a plain service."""
+        """Return the least loaded replica for a unary request."""
         best = None
         for replica in candidates:
-            running = self._load.load_of(replica.name).running
+            running = self._load_tracker.load_of(replica.name).running
             is_local = replica.failure_domain == self._failure_domain
             used = (running + (0 if is_local else 0.5)) / max(1, replica.slots)
             rank = (used, self._random.random())
@@ -198,14 +198,16 @@
         if len(candidates) <= 2 * SAMPLE_SIZE:
             return candidates
         holders = self._index.holders(prompt)
-        kept = [replica for replica in candidates if replica.name in holders]
+        holding = [
+            replica for replica in candidates if replica.name in holders
+        ]
         rest = [
             replica for replica in candidates if replica.name not in holders
         ]
         self._random.shuffle(rest)
         prefillers = [r for r in rest if r.stage == prefill_costs.PREFILL]
         decoders = [r for r in rest if r.stage != prefill_costs.PREFILL]
-        return kept + prefillers[:SAMPLE_SIZE] + decoders[:SAMPLE_SIZE]
+        return holding + prefillers[:SAMPLE_SIZE] + decoders[:SAMPLE_SIZE]
 
     def _best_sources(
         self,
@@ -260,7 +262,9 @@
         uncached = missing - copy.tokens
         cost = self._prefill_cost(replica, uncached, request)
         cold_cost = self._prefill_cost(replica, request.prompt.tokens, request)
-        queued_s = self._load.load_of(replica.name).queued_prefill_ms / 1000
+        queued_s = (
+            self._load_tracker.load_of(replica.name).queued_prefill_ms / 1000
+        )
         return _Candidate(
             replica,
             uncached,
@@ -321,12 +325,12 @@
         )
 
     def _decode_cost_s(self, replica: replicas.Replica) -> float:
-        running = self._load.load_of(replica.name).running
+        running = self._load_tracker.load_of(replica.name).running
         overload = max(0, running - replica.slots * 0.9)
         return STREAM_COST_S * running + OVERLOAD_COST_S * overload
 
     def _interference_s(self, candidate: _Candidate) -> float:
-        running = self._load.load_of(candidate.replica.name).running
+        running = self._load_tracker.load_of(candidate.replica.name).running
         return INTERFERENCE_SHARE * running * candidate.work_s
 
 
--- a/gentianstair/gateway/prefill_costs.py
+++ b/gentianstair/gateway/prefill_costs.py
@@ -12,7 +12,7 @@
 DECODE = 'decode'
 # Decode replicas compute prompts this many times slower than prefill ones.
 DECODE_SLOWDOWN = 2.0
-# Vector before any observation: seconds of latency, for a thousand
+# Coefficients before any observation: seconds of latency, for a thousand
 # tokens and for a million pairs. High estimates spread work evenly.
 DEFAULT_COEFFICIENTS = (0.05, 0.04, 0.001)
 # Weight of each default coefficient in the fit, in observations.
@@ -122,7 +122,7 @@
     def __init__(self) -> None:
         self._fits: dict[tuple[str, str], _Fit] = {}
         self._coefficients: dict[tuple[str, str], Vector] = {}
-        # Vector fitted by other processes, used as defaults.
+        # Coefficients fitted by other processes, used as defaults.
         self._seeds: dict[tuple[str, str], Vector] = {}
 
     def export(self) -> list[FittedCosts]:
@@ -135,7 +135,10 @@
         ]
 
     def seed(self, fits: typing.Iterable[FittedCosts]) -> None:
-        """Use fits of other processes as defaults; most samples win."""
+        """Use fits of other processes as defaults.
+
+        Of several fits, the one with the most samples is used.
+        """
         for fitted in sorted(fits, key=lambda one: one.samples):
             self._seeds[fitted.service, fitted.stage] = fitted.coefficients
         self._coefficients.clear()
--- a/gentianstair/gateway/remote_prefill.py
+++ b/gentianstair/gateway/remote_prefill.py
@@ -1,7 +1,7 @@
-"""Run the prefill of a request apart from its decode replica.
+"""Run the prefill of a request at another replica than its decode.
 
-A prefill runs no request: after its failure the request has certainly not
-run. The KV cache that it leaves belongs to this request, and is taken by one
+A prefill alone does not run the request: if it fails, the request has
+certainly not run. Its KV cache belongs to this request, and is fetched by one
 decode replica or freed.
 """
 
@@ -20,7 +20,7 @@
 
 
 class _HeldKv(typing.NamedTuple):
-    """A KV cache that no decode replica has taken yet."""
+    """A KV cache that no decode replica has fetched yet."""
 
     source: calls.KvSource
     # The name of the prefill replica that holds it.
@@ -123,7 +123,7 @@
         request.record_failure(replica, error, started_s, reads=True)
 
     def record_fetched(self) -> None:
-        """Record that a decode replica took the KV cache."""
+        """Record that a decode replica fetched the KV cache."""
         self._held = None
 
     def handle_decode_failure(self, error: errors.UpstreamError) -> None:
@@ -144,7 +144,7 @@
             self.free()
 
     def free(self) -> None:
-        """Free the KV cache that no replica will take, if there is one."""
+        """Free the KV cache that no replica will fetch, if there is one."""
         if self._held is None:
             return
         self._node.nursery.start_soon(
--- a/gentianstair/gateway/retry_budget.py
+++ b/gentianstair/gateway/retry_budget.py
@@ -1,4 +1,4 @@
-"""Keep the fleet's retries at a service within the users' limit.
+"""Keep the fleet's retries at a service within the configured limit.
 
 In a sliding window, all VMs together may send retries up to a share of the
 requests plus a fixed allowance. VMs don't coordinate: each spends what its
@@ -11,8 +11,8 @@
 
 from gentianstair.util import clock as clocks
 
-# Share of its budget that each VM spends at most, as the users' windows begin
-# at other times than the windows here.
+# Share of its budget that each VM spends at most, as the limit may be checked
+# over windows that begin at other times than the ones here.
 SAFETY_SHARE = 0.7
 
 
--- a/gentianstair/gateway/run_record.py
+++ b/gentianstair/gateway/run_record.py
@@ -1,4 +1,4 @@
-"""Record how prefills and runs went in log, cost model and prefix cache."""
+"""Record prefills and runs in the log, cost model and prefix index."""
 
 from gentianstair.gateway import calls
 from gentianstair.gateway import placement
--- a/gentianstair/gateway/store_watch.py
+++ b/gentianstair/gateway/store_watch.py
@@ -46,7 +46,7 @@
     """A kind of object to follow, and the callbacks for its changes."""
 
     kind: str
-    # Takes a whole listing; the flag tells whether the store was down before.
+    # Takes a whole listing, and whether the store was down before it.
     replace: collections.abc.Callable[[list[stores.StoredObject], bool], None]
     change: collections.abc.Callable[[stores.StoredObject], None]
     # Pause after each read, so that one watch returns several changes.
@@ -120,7 +120,7 @@
         """Return whether the store itself may have been down since since_s.
 
         It was not if another VM got an answer after since_s and at least
-        replicas.RETURN_S ago: then only this VM was cut off, and no entry
+        replicas.REREGISTER_S ago: then only this VM was cut off, and no entry
         of a live replica has lapsed.
         """
         from_s = since_s + PEER_ANSWER_MARGIN_S
@@ -144,7 +144,7 @@
 class ReadPolicy(typing.NamedTuple):
     """Whether this process reads the store, and how often it retries."""
 
-    # Whether a hub keeps this VM up to date.
+    # Whether this VM has a hub's current feed and need not read the store.
     has_hub_feed: collections.abc.Callable[[], bool]
     # How many VMs may retry at the same time.
     vm_count: collections.abc.Callable[[], int]
@@ -262,7 +262,7 @@
     kind: str,
     registry: replicas.Registry,
 ) -> Source:
-    """Return a source that keeps registry up to date."""
+    """Return a source that updates the registry."""
 
     def change(item: stores.StoredObject) -> None:
         if item.value is None:
--- a/gentianstair/gateway/streaming.py
+++ b/gentianstair/gateway/streaming.py
@@ -1,8 +1,8 @@
 """Serve a streamed request by forwarding the events of its replicas.
 
 One replica prefills the prompt. The same one decodes, or another one to which
-the KV cache is moved. If the route allows it, a stream that loses its replica
-is resumed at another one after the last event that was forwarded.
+the KV cache is transferred. If the route allows it, a stream that loses its
+replica is resumed at another one after the last event that was forwarded.
 """
 
 import math
--- a/gentianstair/gateway/unary.py
+++ b/gentianstair/gateway/unary.py
@@ -8,7 +8,7 @@
 from gentianstair.gateway import replicas
 from gentianstair.gateway import request_state
 
-# A repeatable request is retried elsewhere when a replica takes this many
+# A retryable request is retried elsewhere when a replica takes this many
 # times the route's objective, if at least as much time remains for the retry.
 ATTEMPT_TIMEOUT_OBJECTIVES = 3.0
 
--- a/gentianstair/gateway/usage_counter.py
+++ b/gentianstair/gateway/usage_counter.py
@@ -20,7 +20,7 @@
         self._window_s = window_s
         self._windows: dict[int, collections.Counter[str]] = {}
         # The number of requests counted so far.
-        self.changes = 0
+        self.request_count = 0
 
     def current_window(self) -> int:
         """Return the number of the current window."""
@@ -37,7 +37,7 @@
             for old in [w for w in self._windows if w < window - KEPT_WINDOWS]:
                 del self._windows[old]
         counts[customer] += 1
-        self.changes += 1
+        self.request_count += 1
 
     def windows(self) -> Windows:
         """Return the counts of the kept windows."""
--- a/test/control/test_authority.py
+++ b/test/control/test_authority.py
@@ -206,7 +206,7 @@
 
 @pytest.mark.promise
 @pytest.mark.parametrize('seed', range(6))
-async def test_order_under_way_ends_before_the_lease(seed, autojump_clock):
+async def test_order_in_flight_ends_before_the_lease(seed, autojump_clock):
     """A holder's renewals are lost while its other calls succeed.
 
     It sends orders over a slow network until its lease lapses. No order may
--- a/test/control/test_main.py
+++ b/test/control/test_main.py
@@ -57,7 +57,7 @@
 
 @pytest.mark.promise
 @pytest.mark.process
-def test_holder_is_killed_stopped_and_replaced(tmp_path):
+def test_engine_is_drained_once_while_lease_holders_fail(tmp_path):
     """An operator drains an engine while control processes fail.
 
     The first holder is killed, the second is paused past its lease and
--- a/test/gateway/test_autoscaling.py
+++ b/test/gateway/test_autoscaling.py
@@ -107,7 +107,7 @@
     assert sum(desired.reclaimable.values()) == total
 
 
-def test_both_kinds_together_keep_the_limit_of_a_domain():
+def test_orders_of_both_kinds_do_not_exceed_the_domain_limit():
     """The platform refuses orders beyond it."""
     planner = autoscaling.OrderPlanner()
     found = fleet('', 'aabcc')
--- a/test/gateway/test_bad_input.py
+++ b/test/gateway/test_bad_input.py
@@ -21,7 +21,7 @@
     b'authorization: Bearer club-key-1\r\n\r\n'
 )
 # The body limit of the sample configuration.
-MOST_BODY = 100_000
+MAX_BODY_BYTES = 100_000
 
 
 async def exchange(gateway, *parts, pause_s=0.0, limit_s=4.0):
--- a/test/gateway/test_cache_updates.py
+++ b/test/gateway/test_cache_updates.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ('changes', 'unread_tokens'),
+    ('changes', 'uncached_tokens'),
     [
         ([], 9100),
         ([change(1, 9000)], 100),
@@ -35,12 +35,14 @@
     ],
     ids=['none', 'cached', 'evicted', 'late repeat', 'unlogged eviction'],
 )
-def test_late_change_does_not_undo_newer(updates, changes, unread_tokens):
+def test_late_change_does_not_undo_a_newer_one(
+    updates, changes, uncached_tokens
+):
     cache = prefix_index.PrefixIndex()
     updates = cache_updates.CacheUpdates(cache)
     for found in changes:
         updates.apply(found, to_hubs=True)
-    assert cache.uncached_tokens('i-1', PROMPT) == unread_tokens
+    assert cache.uncached_tokens('i-1', PROMPT) == uncached_tokens
 
 
 def test_short_parts_are_not_forwarded(updates):
--- a/test/gateway/test_cut_connections.py
+++ b/test/gateway/test_cut_connections.py
@@ -61,10 +61,10 @@
     """Collect log lines as the process would write them."""
     lines = []
 
-    def keep(message):
+    def collect(message):
         lines.append(logs.to_line(message.record))
 
-    sink = loguru.logger.add(keep, level='INFO')
+    sink = loguru.logger.add(collect, level='INFO')
     yield lines
     loguru.logger.remove(sink)
 
--- a/test/gateway/test_hub_client.py
+++ b/test/gateway/test_hub_client.py
@@ -49,17 +49,17 @@
 
 
 @pytest.mark.parametrize('count', [1, 6])
-async def test_pauses_between_tries_when_all_hubs_fail(
+async def test_leaf_pauses_between_attempts_when_all_hubs_fail(
     autojump_clock, nursery, count
 ):
     # Otherwise a leaf opens hundreds of links a second.
     failing = FailingHubs(count)
     node = types.SimpleNamespace(roster=failing, clock=clock.trio_time_s)
     leaf = hub_client.HubClient(node, failing, None)
-    began_s = trio.current_time()
+    started_s = trio.current_time()
     with trio.move_on_after(RUN_S):
         await leaf.run()
-    times = [at_s - began_s for _, at_s in failing.opened]
+    times = [at_s - started_s for _, at_s in failing.opened]
     # The first round goes through all of them at once.
     assert times[count - 1] <= 2 * OPEN_S * count
     later = gaps_s(times[count - 1 :])
--- a/test/gateway/test_kept_connections.py
+++ b/test/gateway/test_keep_alive_close.py
@@ -32,7 +32,7 @@
     return f'GET /lookup/entry HTTP/1.1\r\n{"".join(lines)}\r\n'.encode()
 
 
-async def _connect_kept(gateway, names):
+async def _connect_idle(gateway, names):
     """Return callers by name, each with one completed request.
 
     The requests run concurrently, so the gateway has as many idle connections
@@ -113,7 +113,7 @@
     names = [f'turn-{turn}' for turn in range(TURNS)]
     async with sites.running() as site:
         async with gateways.running(site, tmp_path) as (gateway,):
-            tracker.callers = await _connect_kept(gateway, names)
+            tracker.callers = await _connect_idle(gateway, names)
             keep_alive_harness.set_order(monkeypatch, [last_first])
             stop.set()
             await _send_one_per_turn(gateway, tracker.callers)
@@ -134,7 +134,7 @@
         # Patched once the replicas run, which keep their connections.
         monkeypatch.setattr(serving, 'KEEP_ALIVE_S', BLOCK_S)
         async with gateways.running(site, tmp_path) as (gateway,):
-            tracker.callers = await _connect_kept(gateway, names)
+            tracker.callers = await _connect_idle(gateway, names)
             await trio.sleep(SETTLE_S)
             keep_alive_harness.set_order(monkeypatch, [last_first])
             for name, caller in tracker.callers.items():
--- a/test/gateway/test_placement.py
+++ b/test/gateway/test_placement.py
@@ -78,7 +78,7 @@
     assert plan.uncached_tokens == 3800
 
 
-def test_no_wait_longer_than_another_prefill():
+def test_prompt_waits_no_longer_than_a_prefill_elsewhere():
     """The replica with the prefix has a queue of 1.6 s."""
     scheduler = Scheduler()
     scheduler.index.expect('reader-1', prompt(13300, 3700), ENGINE.kv_tokens)
@@ -123,7 +123,7 @@
 @pytest.mark.parametrize(
     ('near', 'far', 'chosen'), [(0, 0, 'near'), (1, 0, 'far'), (3, 4, 'near')]
 )
-def test_plain_call_goes_to_the_least_loaded_replica(near, far, chosen):
+def test_unary_request_goes_to_the_least_loaded_replica(near, far, chosen):
     scheduler = Scheduler()
     candidates = [replica('far', '', 'b', 6), replica('near', '', 'a', 6)]
     for name, count in (('near', near), ('far', far)):
--- a/test/gateway/test_remote_prefill.py
+++ b/test/gateway/test_remote_prefill.py
@@ -45,7 +45,7 @@
         site.replica(name).tokens_per_s = tokens_per_s
 
 
-async def ask(gateway, number):
+async def send_prompt(gateway, number):
     """Send a prompt that no replica has cached any part of."""
     prompt = {
         'x-model': 'm',
@@ -64,7 +64,7 @@
         site.replica('i-maker-1').faults.changed = True
         async with gateways.running(site, tmp_path) as (gateway,):
             for number in range(6):
-                answer = await ask(gateway, number)
+                answer = await send_prompt(gateway, number)
                 assert answer.status_code == 200
         assert site.replica('i-maker-1').arrivals
         assert len(site.replica('i-reader').reads) == 6
@@ -95,7 +95,7 @@
             setattr(site.replica(name).faults, fault, True)
         async with gateways.running(site, tmp_path) as (gateway,):
             for number in range(requests):
-                await ask(gateway, number)
+                await send_prompt(gateway, number)
         arrivals = sum(replica.arrivals for replica in models(site))
         prefilled = set(site.replica('i-reader').reads)
         allowed = RATIO * requests + ALLOWANCE
@@ -116,6 +116,6 @@
         with logged('try-failed') as failures:
             async with gateways.running(site, tmp_path) as (gateway,):
                 for number in range(3):
-                    answer = await ask(gateway, number)
+                    answer = await send_prompt(gateway, number)
                     assert answer.status_code == 200
         assert len(failures) == 1
--- a/test/gateway/test_store_watch.py
+++ b/test/gateway/test_store_watch.py
@@ -152,10 +152,10 @@
     """The history with a replica's drain is dropped before it is read."""
     real = follower.store.watch
 
-    async def gone(*args, **kwargs):
+    async def refuse_watch(*args, **kwargs):
         raise errors.WatchTooOldError('gone')
 
-    follower.store.watch = gone
+    follower.store.watch = refuse_watch
     follower.write('i-1', entry('i-1', state='draining'))
     await trio.sleep(2)
     follower.store.watch = real
@@ -244,10 +244,10 @@
     Listing and watching without a pause would use up the fleet's reads.
     """
 
-    async def gone(*args, **kwargs):
+    async def refuse_watch(*args, **kwargs):
         raise errors.WatchTooOldError('gone')
 
-    follower.store.watch = gone
+    follower.store.watch = refuse_watch
     before = sum(follower.store.calls.values())
     await trio.sleep(5)
     # Two sources, each at most about ten calls a second.
--- a/test/gateway/test_own_end.py
+++ b/test/gateway/test_unexpected_exit.py
@@ -12,7 +12,7 @@
 from test.gateway import gateways
 from test.gateway import samples
 
-END_S = 20.0
+EXIT_TIMEOUT_S = 20.0
 # A gateway that fails shortly after a request has started.
 SCRIPT = """
 import trio
@@ -58,7 +58,7 @@
             env=environ,
         )
         text = b''
-        with trio.fail_after(END_S):
+        with trio.fail_after(EXIT_TIMEOUT_S):
             while not await gateway.ready():
                 await trio.sleep(0.05)
             await call(gateway)
