--- a/gentianstair/control/usage_sealer.py
+++ b/gentianstair/control/usage_sealer.py
@@ -1,11 +1,5 @@
 """Seal usage windows and report them to the platform, once each."""
 
-import contextlib
-import typing
-
-import msgspec
-import prometheus_client
-
 from gentianstair import errors
 from gentianstair.control import lease
 from gentianstair.entry import usage
@@ -15,6 +9,10 @@
 from gentianstair.store import store as stores
 from gentianstair.util import clock as clocks
 from gentianstair.util import usage_rows
+import contextlib
+import msgspec
+import prometheus_client
+import typing
 
 PURPOSE = 'usage'
 # An entry's counts are deleted after they stayed unchanged for this time, if
@@ -54,7 +52,7 @@
         self,
         store: stores.Store,
         sender: reports.Sender,
-        wall_clock: usage.Wall,
+        wall_clock: usage.WallClock,
         clock: clocks.Clock,
         timing: SealTiming,
     ) -> None:
@@ -295,7 +293,7 @@
 def make_sealer(
     store: stores.Store,
     sender: reports.Sender,
-    wall_clock: usage.Wall,
+    wall_clock: usage.WallClock,
     clock: clocks.Clock,
     timing: SealTiming,
 ) -> Sealer:
--- a/gentianstair/entry/node.py
+++ b/gentianstair/entry/node.py
@@ -1,4 +1,4 @@
-"""Hold the parts of one entry process that its requests share."""
+"""Hold the components that all requests of an entry process share."""
 
 import typing
 
@@ -9,7 +9,7 @@
 from gentianstair.entry import claims as claimses
 from gentianstair.entry import explain
 from gentianstair.entry import limits
-from gentianstair.entry import retries
+from gentianstair.entry import retry_policy
 from gentianstair.entry import routing
 from gentianstair.entry import usage as usages
 from gentianstair.generated import settings
@@ -18,14 +18,14 @@
 
 
 class Freshness(typing.Protocol):
-    """Tell whether the configuration in force is known to be current."""
+    """Report whether the configuration in force is known to be current."""
 
     def is_fresh(self) -> bool:
-        """Return whether requests may be served on it."""
+        """Return whether requests may be served with it."""
 
 
 class Node(typing.NamedTuple):
-    """The parts of one entry process."""
+    """The components of one entry process."""
 
     settings: settings.EntrySettings
     clock: clocks.Clock
@@ -33,15 +33,15 @@
     freshness: Freshness
     queue: admission.Queue
     router: routing.Router
-    retries: retries.Retries
+    retries: retry_policy.RetryPolicy
     claims: claimses.Claims
     limits: limits.Limits
-    usage: usages.Usage
+    usage: usages.UsageRecorder
     explanations: explain.Explanations
     transport: transport.Transport
     grace: grace_period.GracePeriod
 
     @property
     def ejector(self) -> ejection.Ejector:
-        """Return who is ejected."""
+        """Return the ejector of failing upstreams."""
         return self.retries.ejector
--- a/gentianstair/gateway/handler.py
+++ b/gentianstair/gateway/handler.py
@@ -1,11 +1,5 @@
 """Serve one caller's request, from its headers to the end of the response."""
 
-import functools
-
-import loguru
-import prometheus_client
-import trio
-
 from gentianstair import errors
 from gentianstair import verdict as verdicts
 from gentianstair.core import asgi
@@ -19,8 +13,12 @@
 from gentianstair.gateway import streaming
 from gentianstair.gateway import unary
 from gentianstair.generated import events
-from gentianstair.platform import wire
+from gentianstair.platform import http_codec
 from gentianstair.util import connections
+import functools
+import loguru
+import prometheus_client
+import trio
 
 # Retry-After of a process that has no configuration yet; it gets one as soon
 # as the store or a peer responds.
@@ -167,7 +165,7 @@
             # A truncated response must not look complete.
             raise exchanges.CallerDisconnectedError(f'cut off: {error.detail}')
         call = self._call
-        headers = wire.refusal_headers(
+        headers = http_codec.error_headers(
             call.request_id if call else '', error.retry_after_s
         )
         loguru.logger.bind(
@@ -190,7 +188,7 @@
 
     async def _serve(self) -> None:
         node, exchange = self._node, self._exchange
-        call = self._call = wire.decode_call(
+        call = self._call = http_codec.decode_call(
             exchange.method,
             exchange.raw_path,
             exchange.query,
--- a/gentianstair/gateway/leader_tasks.py
+++ b/gentianstair/gateway/leader_tasks.py
@@ -4,20 +4,18 @@
 that a later leader that repeats the report sends the same counts.
 """
 
-import typing
-
-import loguru
-import msgspec
-import trio
-
 from gentianstair import errors
 from gentianstair.control import lease
 from gentianstair.gateway import members as memberships
 from gentianstair.gateway import usage_counter
 from gentianstair.generated import events
-from gentianstair.platform import cloud as clouds
+from gentianstair.platform import cloud_client
 from gentianstair.store import settled
 from gentianstair.store import store as stores
+import loguru
+import msgspec
+import trio
+import typing
 
 # The lease's name in the store.
 SCOPE = 'duties'
@@ -54,7 +52,7 @@
         self,
         store: stores.Store,
         members: memberships.Members,
-        cloud: clouds.Cloud,
+        cloud: cloud_client.CloudClient,
         counts: usage_counter.UsageCounter,
         timing: ReportTiming,
         wall_clock: typing.Callable[[], float],
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -1,17 +1,5 @@
 """Run the gentianstair-gateway program, one process on each entry VM."""
 
-import collections.abc
-import functools
-import os
-import pathlib
-import random
-import sys
-import time
-import typing
-
-import loguru
-import trio
-
 from gentianstair import errors
 from gentianstair.control import lease
 from gentianstair.core import ejection
@@ -41,11 +29,11 @@
 from gentianstair.gateway import store_watch
 from gentianstair.gateway import usage_counter
 from gentianstair.generated import events
-from gentianstair.platform import cloud
+from gentianstair.platform import cloud_client
 from gentianstair.platform import configuration
-from gentianstair.platform import objects
-from gentianstair.platform import registry
-from gentianstair.platform import settings
+from gentianstair.platform import object_store
+from gentianstair.platform import registry_entries
+from gentianstair.platform import settings_file
 from gentianstair.store import settled
 from gentianstair.upstreams import transport
 from gentianstair.util import clock
@@ -54,6 +42,16 @@
 from gentianstair.util import logs
 from gentianstair.util import serving
 from gentianstair.util import steady_wall_clock
+import collections.abc
+import functools
+import loguru
+import os
+import pathlib
+import random
+import sys
+import time
+import trio
+import typing
 
 # How long new connections are accepted after a stop is requested. The load
 # balancer checks readiness each second and needs two failures to notice.
@@ -91,7 +89,7 @@
     """Return the components of a process for a deployment."""
     vm_settings = live.current
     now = clock.boottime_s
-    store = objects.connect(vm_settings.store_address, vm_settings.vm)
+    store = object_store.connect(vm_settings.store_address, vm_settings.vm)
     bounds = vm_settings.bounds
     wall_clock = steady_wall_clock.SteadyWallClock(time.time, now)
     counts = usage_counter.UsageCounter(wall_clock, bounds.usage_window_s)
@@ -118,7 +116,9 @@
     lease_manager = lease.make_lease_manager(
         store, name, now, leader_tasks.lease_timing(bounds.lease_s)
     )
-    platform = cloud.Cloud(vm_settings.duties_address, vm_settings.vm)
+    platform = cloud_client.CloudClient(
+        vm_settings.duties_address, vm_settings.vm
+    )
     store_health = store_watch.StoreHealth(now)
     usage_reporter = leader_tasks.UsageReporter(
         store,
@@ -145,7 +145,7 @@
 
 def _make_node(
     live: deployment.LiveSettings,
-    store: objects.ObjectStore,
+    store: object_store.ObjectStore,
     counts: usage_counter.UsageCounter,
     members: memberships.Members,
     costs: prefill_costs.PrefillCosts,
@@ -222,7 +222,7 @@
             functools.partial(_apply_catalog, node),
         ),
         store_watch.replica_source(
-            registry.decode, registry.KIND, node.registry
+            registry_entries.decode, registry_entries.KIND, node.registry
         ),
     ]
 
@@ -362,7 +362,7 @@
     async with trio.open_nursery() as nursery:
         process = make_process_parts(live, nursery)
         node = process.node
-        reloader = reload.Reloader(file, live, settings.read)
+        reloader = reload.Reloader(file, live, settings_file.read)
         nursery.start_soon(reloader.run)
         apps = [(monitoring.make_readiness_app(node), ready_sock)]
         if env_settings.metrics_port is not None:
@@ -443,8 +443,8 @@
 def main() -> None:
     """Read the settings and run; print a settings error as one line."""
     try:
-        file = settings.path()
-        _run(file, settings.read(file))
+        file = settings_file.path()
+        _run(file, settings_file.read(file))
     except errors.UserError as error:
         print(error, file=sys.stderr)
         sys.exit(1)
--- a/gentianstair/gateway/remote_prefill.py
+++ b/gentianstair/gateway/remote_prefill.py
@@ -5,8 +5,6 @@
 decode replica or freed.
 """
 
-import typing
-
 from gentianstair import errors
 from gentianstair import verdict as verdicts
 from gentianstair.gateway import calls
@@ -16,7 +14,8 @@
 from gentianstair.gateway import replicas
 from gentianstair.gateway import request_state
 from gentianstair.gateway import run_record
-from gentianstair.platform import wire
+from gentianstair.platform import http_codec
+import typing
 
 
 class _HeldKv(typing.NamedTuple):
@@ -87,7 +86,7 @@
             response = await forward.fetch_response(
                 node, request.call, attempt
             )
-            source = wire.decode_handle(
+            source = http_codec.decode_prefill_response(
                 replica.address, response.status, response.body
             )
         except errors.UpstreamError as error:
@@ -137,7 +136,7 @@
             return
         restarted = (
             isinstance(error, errors.TurnedAwayError)
-            and error.status == wire.HTTP_MISDIRECTED
+            and error.status == http_codec.HTTP_MISDIRECTED
         )
         if not restarted:
             # The failure may be that the KV cache could not be fetched.
--- a/test/gateway/test_keep_alive_close.py
+++ b/test/gateway/test_keep_alive_close.py
@@ -1,12 +1,5 @@
 """Test that closing keep-alive connections drops no accepted request."""
 
-import re
-import socket
-import time
-
-import pytest
-import trio
-
 from gentianstair.gateway import handler
 from gentianstair.gateway import main
 from gentianstair.util import serving
@@ -14,6 +7,11 @@
 from standins.site import site as sites
 from test.gateway import gateways
 from test.util import keep_alive_harness
+import pytest
+import re
+import socket
+import time
+import trio
 
 # Turns of the event loop after the stop, with one request each.
 TURNS = 20
@@ -70,7 +68,7 @@
 async def _send_one_per_turn(gateway, callers):
     for name, caller in callers.items():
         caller.send(_request(gateway, name))
-        TRANSPORT.wait_arrival()
+        TRANSPORT.wait_delivered()
         await trio.lowlevel.checkpoint()
 
 
@@ -114,7 +112,7 @@
     async with sites.running() as site:
         async with gateways.running(site, tmp_path) as (gateway,):
             tracker.callers = await _connect_idle(gateway, names)
-            keep_alive_harness.set_order(monkeypatch, [last_first])
+            keep_alive_harness.set_task_order(monkeypatch, [last_first])
             stop.set()
             await _send_one_per_turn(gateway, tracker.callers)
             await tracker.read_to_end()
@@ -136,7 +134,7 @@
         async with gateways.running(site, tmp_path) as (gateway,):
             tracker.callers = await _connect_idle(gateway, names)
             await trio.sleep(SETTLE_S)
-            keep_alive_harness.set_order(monkeypatch, [last_first])
+            keep_alive_harness.set_task_order(monkeypatch, [last_first])
             for name, caller in tracker.callers.items():
                 caller.send(_request(gateway, name))
             time.sleep(BLOCK_S)
