--- a/gentianstair/upstreams/transport.py
+++ b/gentianstair/upstreams/transport.py
@@ -291,7 +291,7 @@
     ) -> trio.abc.Stream:
         with trio.move_on_after(math.inf if limit_s is None else limit_s):
             return await self._connect(url)
-        raise errors.UnreachableError(f'cannot connect within {limit_s:g} s')
+        raise errors.UnreachableError(f'no connection within {limit_s:g} s')
 
     def _take_idle(self, url: httpx.URL) -> trio.abc.Stream | None:
         """Remove and return an open idle connection, or None."""
@@ -396,8 +396,7 @@
         size += len(part)
         if size > limit_bytes:
             raise errors.UpstreamError(
-                f'the response exceeds {limit_bytes} bytes',
-                verdicts.Verdict.RAN,
+                'the answer is too long', verdicts.Verdict.RAN
             )
     return b''.join(body_parts)
 
