--- a/gentianstair/store/call_budget.py
+++ b/gentianstair/store/call_budget.py
@@ -19,7 +19,8 @@
     'audit': 'config',
     'operator': 'config',
 }
-# Share of the capacity that each priority leaves to the one above it.
+# A priority leaves this share of the capacity, times its index in PRIORITIES,
+# to the higher ones.
 RESERVE_SHARE_PER_PRIORITY = 0.15
 # Capacity of a token bucket, in seconds of its rate.
 BURST_S = 2.0
