--- a/gentianstair/control/lease.py
+++ b/gentianstair/control/lease.py
@@ -29,7 +29,7 @@
 LEASES_HELD = prometheus_client.Gauge(
     'gentianstair_leases_held', 'Scopes this process has authority over'
 )
-LEASES_TAKEN = prometheus_client.Counter(
+LEASES_ACQUIRED = prometheus_client.Counter(
     'gentianstair_leases_taken', 'Scopes this process took authority over'
 )
 LEASES_LOST = prometheus_client.Counter(
@@ -46,7 +46,7 @@
 
     duration_s: float
     margin_s: float
-    # A process does not take a lease again for this long after it held it.
+    # A process does not acquire a lease again for this long after it held it.
     # An upstream that ignores epochs can't tell two holders that alternate
     # quickly from two that act at once.
     cooldown_s: float = 0.0
@@ -99,7 +99,7 @@
 
 
 class LeaseManager:
-    """Takes, renews and releases the leases of one process."""
+    """Acquires, renews and releases the leases of one process."""
 
     def __init__(
         self,
@@ -128,7 +128,7 @@
     async def run(
         self, get_tasks: collections.abc.Callable[[], dict[str, HolderTask]]
     ) -> None:
-        """Take and hold leases until cancelled, then release them.
+        """Acquire and hold leases until cancelled, then release them.
 
         get_tasks returns the current scopes with the task of each one's
         holder; it is called before each listing. The release at the end lets
@@ -144,7 +144,7 @@
                 )
 
     async def _poll_leases(self, nursery: trio.Nursery) -> None:
-        """List the leases, take vacant ones and release excess ones."""
+        """List the leases, acquire vacant ones and release excess ones."""
         try:
             listing = await self._store.list(KIND, purpose=PURPOSE)
         except errors.StoreError:
@@ -159,9 +159,9 @@
                 observed
             ):
                 continue
-            if self._may_take(observed, preferred):
+            if self._may_acquire(observed, preferred):
                 nursery.start_soon(
-                    self._take_and_hold, observed, listing.revision
+                    self._acquire_and_hold, observed, listing.revision
                 )
         self._release_excess(preferred)
 
@@ -191,12 +191,12 @@
             return False
         return self._clock() >= self._vacant_from_s(observed)
 
-    def _may_take(
+    def _may_acquire(
         self, observed: _ObservedLease, preferred: dict[str, str]
     ) -> bool:
-        """Return whether this process may take a vacant scope now.
+        """Return whether this process may acquire a vacant scope now.
 
-        Candidates with a higher score get some time to take it first.
+        Candidates with a higher score get some time to acquire it first.
         """
         scope = observed.item.name
         limit = rendezvous.max_scopes(len(self._tasks), len(self.candidates))
@@ -228,10 +228,10 @@
                 cancel_scope.cancel()
                 excess -= 1
 
-    async def _take_and_hold(
+    async def _acquire_and_hold(
         self, observed: _ObservedLease, revision: int
     ) -> None:
-        """Take one lease and run its task until it is lost or released."""
+        """Acquire one lease and run its task until it is lost or released."""
         scope = observed.item.name
         task = self._tasks[scope]
         # The epoch rises even if this process was the last holder, so that
@@ -247,7 +247,7 @@
             self._cancel_scopes[scope] = cancel_scope
             try:
                 if await self._write(authority, self._holder):
-                    LEASES_TAKEN.inc()
+                    LEASES_ACQUIRED.inc()
                     await self._run_while_held(authority, task)
             finally:
                 self._stop_holding(authority)
@@ -325,11 +325,11 @@
             # lapsed. A write that takes effect later only delays others.
             with trio.move_on_after(max(0.0, authority.remaining_s())):
                 renewed = await self._write(authority, self._holder)
-                if not renewed and await self._is_taken(authority):
+                if not renewed and await self._is_held_by_another(authority):
                     authority.revoke()
 
-    async def _is_taken(self, authority: Authority) -> bool:
-        """Return whether another holder has taken the scope.
+    async def _is_held_by_another(self, authority: Authority) -> bool:
+        """Return whether another holder has acquired the scope.
 
         If not, adopt the stored version: it may be from a renewal of this
         authority whose response was lost.
@@ -350,7 +350,7 @@
 
     async def _release(self, authority: Authority) -> None:
         """Mark the lease vacant if this authority still holds it."""
-        if not await self._is_taken(authority):
+        if not await self._is_held_by_another(authority):
             await self._write(authority, '')
 
 
--- a/gentianstair/gateway/leader_tasks.py
+++ b/gentianstair/gateway/leader_tasks.py
@@ -53,24 +53,24 @@
         store: stores.Store,
         members: memberships.Members,
         cloud: cloud_client.CloudClient,
-        counts: usage_counter.UsageCounter,
+        counter: usage_counter.UsageCounter,
         timing: ReportTiming,
         wall_clock: typing.Callable[[], float],
     ) -> None:
         self._store = store
         self._members = members
         self._cloud = cloud
-        self._counts = counts
+        self._usage_counter = counter
         self._timing = timing
         self._wall_clock = wall_clock
         # Windows before the start of this process are reported by others.
-        self._next_window = counts.current_window()
+        self._next_window = counter.current_window()
 
     async def run(self, authority: lease.Authority) -> None:
         """Report windows as they become due, until authority ends."""
         overdue = int(self._timing.max_delay_s // self._timing.window_s) + 1
         self._next_window = max(
-            self._next_window, self._counts.current_window() - overdue
+            self._next_window, self._usage_counter.current_window() - overdue
         )
         while True:
             authority.check()
--- a/gentianstair/gateway/members.py
+++ b/gentianstair/gateway/members.py
@@ -92,7 +92,7 @@
         store: stores.Store,
         name: str,
         record: Record,
-        counts: usage_counter.UsageCounter,
+        counter: usage_counter.UsageCounter,
         clock: clocks.Clock,
         writes_per_s: float,
         costs: prefill_costs.PrefillCosts | None = None,
@@ -100,7 +100,7 @@
         self._store = store
         self._name = name
         self._record = record
-        self._counts = counts
+        self._usage_counter = counter
         self._clock = clock
         self._writes_per_s = writes_per_s
         self._costs = costs or prefill_costs.PrefillCosts()
@@ -196,7 +196,7 @@
         self._record.beat += 1
         self._record.windows = {
             str(window): counts
-            for window, counts in self._counts.windows().items()
+            for window, counts in self._usage_counter.windows().items()
         }
         self._record.costs = self._costs.export()
         try:
--- a/test/gateway/test_usage_report_protocol.py
+++ b/test/gateway/test_usage_report_protocol.py
@@ -97,7 +97,7 @@
         members = memberships.Members(
             store, name, record, counts, process.clock, 400
         )
-        leases = lease.make_lease_manager(
+        lease_manager = lease.make_lease_manager(
             store, name, process.clock, self.timing
         )
         cloud = Cloud(process, self.name, self.has_deadman)
@@ -112,11 +112,11 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(members.run)
             nursery.start_soon(self.count, counts)
-            nursery.start_soon(self.update_candidates, members, leases)
+            nursery.start_soon(self.update_candidates, members, lease_manager)
             if not is_first_run:
                 await trio.sleep(self.timing.cooldown_s)
             nursery.start_soon(
-                leases.run, lambda: {leader_tasks.SCOPE: reporter.run}
+                lease_manager.run, lambda: {leader_tasks.SCOPE: reporter.run}
             )
             await trio.sleep(self.world.random.uniform(20, 120))
             raise chaos.KilledError(name)
@@ -126,10 +126,10 @@
             await trio.sleep(self.world.random.uniform(0, 0.5))
             counts.count_start(self.world.random.choice(('club', 'guild')))
 
-    async def update_candidates(self, members, leases):
+    async def update_candidates(self, members, lease_manager):
         while True:
             alive = sorted(member.name for member in members.alive())
-            leases.candidates = tuple(alive) or (members.name,)
+            lease_manager.candidates = tuple(alive) or (members.name,)
             await trio.sleep(0.5)
 
 
