--- a/gentianstair/entry/app.py
+++ b/gentianstair/entry/app.py
@@ -73,7 +73,7 @@
             handler.check_fresh(node)
         except errors.RequestError as error:
             return _problem_response(error)
-        names = callers.list_models(node.view.bundle(), caller)
+        names = callers.list_models(node.view.active_bundle(), caller)
         rows = [
             {
                 'id': name,
@@ -105,7 +105,7 @@
     """Return why this VM is not ready for requests, or None if it is."""
     if leaving.is_set():
         return 'leaving'
-    if node.view.bundle() is None:
+    if node.view.active_bundle() is None:
         return 'no bundle is in force'
     if not node.freshness.is_fresh():
         return 'configuration is not fresh'
--- a/gentianstair/entry/handler.py
+++ b/gentianstair/entry/handler.py
@@ -25,6 +25,7 @@
 from gentianstair.util import prefix_hashing
 
 _REQUEST_ID = re.compile(r'[A-Za-z0-9._-]{1,64}')
+# Retry-After of requests refused while the configuration is not fresh.
 NOT_FRESH_RETRY_AFTER_S = 1.0
 # Set by common client libraries to the number of earlier tries.
 RETRY_COUNT_HEADER = 'x-stainless-retry-count'
@@ -191,7 +192,7 @@
     ) -> None:
         node = self._node
         completion = completions.parse(self._exchange.path, body)
-        bundle = node.view.bundle()
+        bundle = node.view.active_bundle()
         model = callers.resolve_model(bundle, caller, completion.model)
         work = self._describe_work(caller, completion, model, deadline_s)
         request = requests.Request(self._request_id, caller, work, bundle)
@@ -290,7 +291,11 @@
             repeatable=call.repeatable,
         )
         request = requests.Request(
-            self._request_id, caller, work, node.view.bundle(), is_service=True
+            self._request_id,
+            caller,
+            work,
+            node.view.active_bundle(),
+            is_service=True,
         )
 
         async def run() -> None:
--- a/gentianstair/entry/upstream_monitor.py
+++ b/gentianstair/entry/upstream_monitor.py
@@ -58,7 +58,7 @@
     """
     upstreams = {
         name: typing.cast(messages.UpstreamValue, node.view.upstream(name))
-        for name in node.view.names('upstream')
+        for name in node.view.valid_names('upstream')
     }
     infos = [upstream_info(name, value) for name, value in upstreams.items()]
     node.router.set_upstreams(infos)
@@ -183,4 +183,4 @@
             for name, url in wanted - set(scopes):
                 scope = scopes[(name, url)] = trio.CancelScope()
                 nursery.start_soon(poll_until_cancelled, name, url, scope)
-            await node.view.wait_change()
+            await node.view.wait_for_change()
--- a/gentianstair/entry/usage.py
+++ b/gentianstair/entry/usage.py
@@ -10,7 +10,7 @@
 
 from gentianstair import errors
 from gentianstair.generated import messages
-from gentianstair.store import settled
+from gentianstair.store import confirmed_write
 from gentianstair.store import store as stores
 from gentianstair.util import usage_rows
 
@@ -21,7 +21,7 @@
 PURPOSE = 'usage'
 # Rows are kept until more than this many later windows are sealed.
 KEPT_WINDOWS = 3
-RETRY_S = 0.5
+FLUSH_RETRY_S = 0.5
 
 UNFLUSHED_TOKENS = prometheus_client.Gauge(
     'gentianstair_usage_unflushed_tokens',
@@ -74,7 +74,7 @@
         self._start_incarnation()
 
     def _start_incarnation(self) -> None:
-        self.incarnation = f'{self._vm_name}.{settled.new_nonce()}'
+        self.incarnation = f'{self._vm_name}.{confirmed_write.new_nonce()}'
         self._version = 0
 
     def count(
@@ -134,7 +134,7 @@
                 await self._drop_sealed_rows()
             except errors.StoreError:
                 FLUSHES.labels('failed').inc()
-                await trio.sleep(RETRY_S)
+                await trio.sleep(FLUSH_RETRY_S)
 
     async def flush(self) -> None:
         """Write all counts; raise StoreError if they are not stored.
@@ -158,11 +158,11 @@
     async def _write(self, rows: dict) -> None:
         value: messages.UsageValue = {
             'vm': self._vm_name,
-            'nonce': settled.new_nonce(),
+            'nonce': confirmed_write.new_nonce(),
             'rows': list(rows.values()),
         }
         try:
-            self._version = await settled.put(
+            self._version = await confirmed_write.put(
                 self._store,
                 KIND,
                 self.incarnation,
--- a/gentianstair/gateway/handler.py
+++ b/gentianstair/gateway/handler.py
@@ -1,5 +1,11 @@
 """Serve one caller's request, from its headers to the end of the response."""
 
+import functools
+
+import loguru
+import prometheus_client
+import trio
+
 from gentianstair import errors
 from gentianstair import verdict as verdicts
 from gentianstair.core import asgi
@@ -15,10 +21,6 @@
 from gentianstair.generated import events
 from gentianstair.platform import http_codec
 from gentianstair.util import connections
-import functools
-import loguru
-import prometheus_client
-import trio
 
 # Retry-After of a process that has no configuration yet; it gets one as soon
 # as the store or a peer responds.
--- a/gentianstair/platform/object_store.py
+++ b/gentianstair/platform/object_store.py
@@ -105,7 +105,7 @@
         except trio.TooSlowError as error:
             # After a network partition, connections from before it may stay
             # silent. Drop all, or each would cost one call its full timeout.
-            self._transport.forget(self._address)
+            self._transport.close_idle(self._address)
             raise self._lost_response_error(method, 'timed out') from error
         except errors.UpstreamError as error:
             if error.verdict is verdicts.Verdict.NOT_RUN:
--- a/gentianstair/platform/settings_file.py
+++ b/gentianstair/platform/settings_file.py
@@ -1,12 +1,13 @@
 """Read the settings file that the platform writes for each process."""
 
-from gentianstair import errors
-from gentianstair.gateway import deployment
 import os
 import pathlib
 import tomllib
 import typing
 
+from gentianstair import errors
+from gentianstair.gateway import deployment
+
 # The environment variable with the path of the file.
 PATH_VARIABLE = 'GENTIANSTAIR_NODE_FILE'
 _REQUIRED = object()
--- a/test/control/test_role_duty.py
+++ b/test/control/test_role_duty.py
@@ -1,14 +1,16 @@
 """Test that the role duty derives demand and orders role changes."""
 
+import types
+
+import httpx
+import trio
+
 from gentianstair.config import view as views
 from gentianstair.control import lease
 from gentianstair.control import role_duty
 from gentianstair.entry import usage
 from gentianstair.store import store as stores
 from standins import memory_store
-import httpx
-import trio
-import types
 
 ENGINES = 6
 
