--- a/gentianstair/control/lease.py
+++ b/gentianstair/control/lease.py
@@ -1,5 +1,13 @@
 """Hold authority over scopes by leases in the platform's store."""
 
+import collections.abc
+import typing
+
+import loguru
+import msgspec
+import prometheus_client
+import trio
+
 from gentianstair import errors
 from gentianstair.control import rendezvous
 from gentianstair.generated import events
@@ -7,12 +15,6 @@
 from gentianstair.store import confirmed_write
 from gentianstair.store import store as stores
 from gentianstair.util import clock as clocks
-import collections.abc
-import loguru
-import msgspec
-import prometheus_client
-import trio
-import typing
 
 KIND = 'lease'
 PURPOSE = 'lease'
--- a/gentianstair/control/role_duty.py
+++ b/gentianstair/control/role_duty.py
@@ -1,16 +1,18 @@
 """Plan the roles of engines from their demand, and order the changes."""
 
+import typing
+
+import httpx
+import loguru
+import msgspec
+import trio
+
 from gentianstair.control import duties
 from gentianstair.control import lease
 from gentianstair.control import role_planner
 from gentianstair.entry import usage
 from gentianstair.generated import messages
 from gentianstair.util import usage_rows
-import httpx
-import loguru
-import msgspec
-import trio
-import typing
 
 PURPOSE = 'status'
 PLAN_INTERVAL_S = 2.0
--- a/gentianstair/control/usage_sealer.py
+++ b/gentianstair/control/usage_sealer.py
@@ -1,5 +1,11 @@
 """Seal usage windows and report them to the platform, once each."""
 
+import contextlib
+import typing
+
+import msgspec
+import prometheus_client
+
 from gentianstair import errors
 from gentianstair.control import lease
 from gentianstair.entry import usage
@@ -9,10 +15,6 @@
 from gentianstair.store import usage_report_sender
 from gentianstair.util import clock as clocks
 from gentianstair.util import usage_rows
-import contextlib
-import msgspec
-import prometheus_client
-import typing
 
 PURPOSE = 'usage'
 # An entry's counts are deleted after they stayed unchanged for this time, if
--- a/gentianstair/gateway/cache_watch.py
+++ b/gentianstair/gateway/cache_watch.py
@@ -1,5 +1,11 @@
 """Poll model replicas for changes of their KV caches."""
 
+import typing
+
+import httpx
+import loguru
+import trio
+
 from gentianstair import errors
 from gentianstair.gateway import cache_updates
 from gentianstair.gateway import forward
@@ -7,10 +13,6 @@
 from gentianstair.gateway import replicas
 from gentianstair.generated import events
 from gentianstair.platform import http_codec
-import httpx
-import loguru
-import trio
-import typing
 
 # Long-poll timeout at the replica. The platform counts shorter ones as
 # probes.
--- a/gentianstair/gateway/leader_tasks.py
+++ b/gentianstair/gateway/leader_tasks.py
@@ -4,6 +4,12 @@
 that a later leader that repeats the report sends the same counts.
 """
 
+import typing
+
+import loguru
+import msgspec
+import trio
+
 from gentianstair import errors
 from gentianstair.control import lease
 from gentianstair.gateway import members as memberships
@@ -12,10 +18,6 @@
 from gentianstair.platform import cloud_client
 from gentianstair.store import confirmed_write
 from gentianstair.store import store as stores
-import loguru
-import msgspec
-import trio
-import typing
 
 # The lease's name in the store.
 SCOPE = 'duties'
--- a/gentianstair/gateway/main.py
+++ b/gentianstair/gateway/main.py
@@ -1,5 +1,17 @@
 """Run the gentianstair-gateway program, one process on each entry VM."""
 
+import collections.abc
+import functools
+import os
+import pathlib
+import random
+import sys
+import time
+import typing
+
+import loguru
+import trio
+
 from gentianstair import errors
 from gentianstair.control import lease
 from gentianstair.core import ejection
@@ -42,16 +54,6 @@
 from gentianstair.util import logs
 from gentianstair.util import serving
 from gentianstair.util import steady_wall_clock
-import collections.abc
-import functools
-import loguru
-import os
-import pathlib
-import random
-import sys
-import time
-import trio
-import typing
 
 # How long new connections are accepted after a stop is requested. The load
 # balancer checks readiness each second and needs two failures to notice.
--- a/gentianstair/gateway/remote_prefill.py
+++ b/gentianstair/gateway/remote_prefill.py
@@ -5,6 +5,8 @@
 decode replica or freed.
 """
 
+import typing
+
 from gentianstair import errors
 from gentianstair import verdict as verdicts
 from gentianstair.gateway import calls
@@ -15,7 +17,6 @@
 from gentianstair.gateway import request_state
 from gentianstair.gateway import run_record
 from gentianstair.platform import http_codec
-import typing
 
 
 class _HeldKv(typing.NamedTuple):
--- a/gentianstair/gateway/streaming.py
+++ b/gentianstair/gateway/streaming.py
@@ -5,6 +5,11 @@
 replica is resumed at another one after the last event that was forwarded.
 """
 
+import math
+
+import httpx
+import trio
+
 from gentianstair import errors
 from gentianstair import verdict as verdicts
 from gentianstair.gateway import calls
@@ -18,9 +23,6 @@
 from gentianstair.gateway import run_record
 from gentianstair.generated import events
 from gentianstair.platform import http_codec
-import httpx
-import math
-import trio
 
 # A replica is considered lost when its stream pauses for this many times the
 # route's pause objective. Callers give up after eight times.
--- a/test/gateway/test_keep_alive_close.py
+++ b/test/gateway/test_keep_alive_close.py
@@ -1,5 +1,12 @@
 """Test that closing keep-alive connections drops no accepted request."""
 
+import re
+import socket
+import time
+
+import pytest
+import trio
+
 from gentianstair.gateway import handler
 from gentianstair.gateway import main
 from gentianstair.util import serving
@@ -7,11 +14,6 @@
 from standins.site import site as sites
 from test.gateway import gateways
 from test.util import keep_alive_harness
-import pytest
-import re
-import socket
-import time
-import trio
 
 # Turns of the event loop after the stop, with one request each.
 TURNS = 20
--- a/test/gateway/test_store_watch.py
+++ b/test/gateway/test_store_watch.py
@@ -1,5 +1,8 @@
 """Test how a VM follows the store through outages and stale answers."""
 
+import pytest
+import trio
+
 from gentianstair import errors
 from gentianstair.gateway import hub_client
 from gentianstair.gateway import replicas
@@ -10,8 +13,6 @@
 from gentianstair.util import clock
 from standins import memory_store
 from standins.site import site
-import pytest
-import trio
 
 
 def entry(name, **changed):
