--- a/gentianstair/__init__.py
+++ b/gentianstair/__init__.py
@@ -1,1 +1,1 @@
-"""Serve language-model requests from a limited fleet of engines."""
+"""Serve LLM requests from a fleet of inference engines."""
--- a/gentianstair/daemon.py
+++ b/gentianstair/daemon.py
@@ -1,4 +1,4 @@
-"""Start a daemon: read its settings, set up its logs, run it."""
+"""Start a daemon: read its settings, set up logging and run it."""
 
 import collections.abc
 import os
@@ -12,28 +12,28 @@
 from gentianstair.generated import settings as generated
 from gentianstair.util import logs
 
-_VARIABLES = frozenset(
+_DAEMON_VARIABLES = frozenset(
     setting.variable for setting in (*generated.ENTRY, *generated.CONTROL)
 )
 
 
 def start(
     program: str,
-    table: collections.abc.Sequence[settings.Setting],
-    kind: type,
+    definitions: collections.abc.Sequence[settings.Setting],
+    config_class: type,
     run: collections.abc.Callable[
         [typing.Any], collections.abc.Awaitable[None]
     ],
 ) -> None:
-    """Run a daemon until it is stopped; exit 1 on a user's mistake.
+    """Run a daemon until it stops; exit with status 1 on a UserError.
 
-    kind is the type of its settings. Each bad setting is told in one line.
+    config_class is the class that holds the daemon's settings.
     """
     try:
         values = settings.read(
-            program, table, sys.argv[1:], os.environ, _VARIABLES
+            program, definitions, sys.argv[1:], os.environ, _DAEMON_VARIABLES
         )
-        config = kind(**values)
+        config = config_class(**values)
         logs.setup(config.log_level, config.vm_name, config.failure_domain)
         trio.run(run, config)
     except errors.UserError as error:
--- a/gentianstair/settings.py
+++ b/gentianstair/settings.py
@@ -12,18 +12,20 @@
 from gentianstair.util import addresses
 
 ENVIRONMENT_PREFIX = 'GENTIANSTAIR_'
-# Variables with our prefix that are not settings of a daemon: the command
-# line reads these.
-FOREIGN_VARIABLES = frozenset(
-    {'GENTIANSTAIR_ACTOR', 'GENTIANSTAIR_ENTRY_URLS'}
-)
-_NAME = re.compile(r'[A-Za-z0-9][A-Za-z0-9._-]{0,62}')
-_TRUE = ('true', 'yes', 'on', '1')
-_FALSE = ('false', 'no', 'off', '0')
+# Variables with the prefix that only the command-line client reads. Daemons
+# accept and ignore them.
+CLIENT_VARIABLES = frozenset({'GENTIANSTAIR_ACTOR', 'GENTIANSTAIR_ENTRY_URLS'})
+_NAME_PATTERN = re.compile(r'[A-Za-z0-9][A-Za-z0-9._-]{0,62}')
+_TRUE_WORDS = ('true', 'yes', 'on', '1')
+_FALSE_WORDS = ('false', 'no', 'off', '0')
 
 
 class Setting(typing.NamedTuple):
-    """What the schema says of one setting."""
+    """Definition of one setting in the schema.
+
+    ``minimum`` and ``maximum`` are inclusive and set together. An empty
+    ``choices`` allows any value.
+    """
 
     name: str
     type: str
@@ -41,20 +43,20 @@
 
     @property
     def variable(self) -> str:
-        """Return the environment variable."""
+        """Return the name of the environment variable."""
         return ENVIRONMENT_PREFIX + self.name.upper()
 
 
 def _parse_bool(text: str) -> bool:
-    if text.lower() in _TRUE:
+    if text.lower() in _TRUE_WORDS:
         return True
-    if text.lower() in _FALSE:
+    if text.lower() in _FALSE_WORDS:
         return False
     raise ValueError('true or false')
 
 
 def _parse_name(text: str) -> str:
-    if not _NAME.fullmatch(text):
+    if not _NAME_PATTERN.fullmatch(text):
         raise ValueError('letters, digits, dot, dash, underscore; at most 63')
     return text
 
@@ -78,12 +80,14 @@
     return parts
 
 
-def _parse_number(kind: type, words: str) -> typing.Callable[[str], float]:
+def _parse_number(
+    number_type: type, expected: str
+) -> typing.Callable[[str], float]:
     def parse(text: str) -> float:
         try:
-            return kind(text)
+            return number_type(text)
         except ValueError:
-            raise ValueError(words) from None
+            raise ValueError(expected) from None
 
     return parse
 
@@ -102,7 +106,7 @@
 
 
 def parse_value(setting: Setting, text: str) -> typing.Any:
-    """Return the value of text; raise ValueError saying what is allowed."""
+    """Parse text; raise ValueError with the allowed values if invalid."""
     value = _PARSERS[setting.type](text)
     if setting.choices and value not in setting.choices:
         raise ValueError('one of ' + ', '.join(setting.choices))
@@ -112,19 +116,21 @@
     return value
 
 
-def flags_class(
-    program: str, table: collections.abc.Sequence[Setting]
+def make_flags_class(
+    program: str, definitions: collections.abc.Sequence[Setting]
 ) -> type:
-    """Return the command class whose flags are the settings of table."""
+    """Return a command class with one flag for each setting."""
     fields = []
-    for setting in table:
+    for setting in definitions:
         arg: cappa.Arg = cappa.Arg(
             long=setting.flag, help=setting.help, default=None
         )
-        kind = typing.Annotated[str | None, arg]
-        fields.append((setting.name, kind, dataclasses.field(default=None)))
-    made = dataclasses.make_dataclass('Flags', fields)
-    return cappa.command(name=f'gentianstair-{program}')(made)
+        field_type = typing.Annotated[str | None, arg]
+        fields.append(
+            (setting.name, field_type, dataclasses.field(default=None))
+        )
+    flags_dataclass = dataclasses.make_dataclass('Flags', fields)
+    return cappa.command(name=f'gentianstair-{program}')(flags_dataclass)
 
 
 def _unknown_variables(
@@ -136,27 +142,30 @@
         for name in sorted(environ)
         if name.startswith(ENVIRONMENT_PREFIX)
         and name not in known
-        and name not in FOREIGN_VARIABLES
+        and name not in CLIENT_VARIABLES
     ]
 
 
 def collect(
-    table: collections.abc.Sequence[Setting],
-    given: collections.abc.Mapping[str, str | None],
+    definitions: collections.abc.Sequence[Setting],
+    flag_values: collections.abc.Mapping[str, str | None],
     environ: collections.abc.Mapping[str, str],
     other_variables: collections.abc.Collection[str] = (),
 ) -> dict[str, typing.Any]:
-    """Return checked values by name.
+    """Return validated values by setting name.
 
-    Raise SettingsError that names every bad setting, a line each.
-    other_variables are those that only other programs of the VM read.
+    A flag takes precedence over an environment variable. Raise SettingsError
+    with one line per invalid setting. other_variables are environment
+    variables that only other programs on the VM read.
     """
-    known = {setting.variable for setting in table} | set(other_variables)
+    known = {setting.variable for setting in definitions} | set(
+        other_variables
+    )
     problems = _unknown_variables(environ, known)
     values = {}
-    for setting in table:
+    for setting in definitions:
         source = setting.flag
-        text = given.get(setting.name)
+        text = flag_values.get(setting.name)
         if text is None:
             source = setting.variable
             text = environ.get(setting.variable)
@@ -175,27 +184,30 @@
 
 
 def split_flags(
-    table: collections.abc.Sequence[Setting],
+    definitions: collections.abc.Sequence[Setting],
     argv: collections.abc.Sequence[str],
 ) -> tuple[list[str], list[str]]:
-    """Return the arguments that are known, and the flags that are not.
+    """Return the arguments of known flags and the names of unknown flags.
 
-    An unknown flag's value goes with it. The parser would stop at the first
-    with a page of usage; here all are told, a line each.
+    The value of an unknown flag is dropped. The argument parser would stop
+    at the first unknown flag, so they are separated here to report them all.
 
     >>> split_flags((), ['-h', '--listne', 'x', '--lisetn=y'])
     (['-h'], ['--listne', '--lisetn'])
     """
-    flags = {setting.flag for setting in table} | {'--help', '--completion'}
+    flags = {setting.flag for setting in definitions} | {
+        '--help',
+        '--completion',
+    }
     known: list[str] = []
     unknown: list[str] = []
-    taken = known
+    current = known
     for argument in argv:
         if argument.startswith('-'):
             flag = argument.partition('=')[0]
-            wanted = not flag.startswith('--') or flag in flags
-            taken = known if wanted else unknown
-        if taken is known:
+            is_known = not flag.startswith('--') or flag in flags
+            current = known if is_known else unknown
+        if current is known:
             known.append(argument)
         elif argument.startswith('-'):
             unknown.append(argument.partition('=')[0])
@@ -204,24 +216,26 @@
 
 def read(
     program: str,
-    table: collections.abc.Sequence[Setting],
+    definitions: collections.abc.Sequence[Setting],
     argv: collections.abc.Sequence[str],
     environ: collections.abc.Mapping[str, str],
     other_variables: collections.abc.Collection[str] = (),
 ) -> dict[str, typing.Any]:
-    """Return the checked settings of a program by name.
+    """Return the validated settings of a program by name.
 
-    Raise SettingsError with a line for each bad or unknown setting.
+    Raise SettingsError with one line per invalid or unknown setting.
     """
-    known, unknown = split_flags(table, argv)
-    given = cappa.parse(
-        flags_class(program, table),
+    known, unknown = split_flags(definitions, argv)
+    flag_values = cappa.parse(
+        make_flags_class(program, definitions),
         argv=known,
         output=cappa.Output(error_format='{message}'),
     )
     problems = [f'{flag}: no such setting; see --help' for flag in unknown]
     try:
-        values = collect(table, vars(given), environ, other_variables)
+        values = collect(
+            definitions, vars(flag_values), environ, other_variables
+        )
     except errors.SettingsError as error:
         problems += str(error).splitlines()
     if problems:
--- a/gentianstair/verdict.py
+++ b/gentianstair/verdict.py
@@ -1,10 +1,12 @@
-"""Say whether a request may have run on an upstream."""
+"""Whether a request may have run on an upstream."""
 
 import enum
 
 
 class Verdict(enum.IntEnum):
-    """What is known of a request's effect; it only ever rises.
+    """Whether a request ran, from ruled out to certain.
+
+    The verdict on a request never decreases.
 
     >>> Verdict.NOT_RUN < Verdict.MAY_HAVE_RUN < Verdict.RAN
     True
@@ -16,7 +18,7 @@
 
 
 def combine(first: Verdict, second: Verdict) -> Verdict:
-    """Return what two tries of one request amount to together.
+    """Return the verdict on a request after two attempts.
 
     >>> combine(Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN).name
     'MAY_HAVE_RUN'
--- a/test/test_settings.py
+++ b/test/test_settings.py
@@ -1,4 +1,4 @@
-"""Test how settings are read and checked."""
+"""Test the parsing and validation of settings."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from gentianstair import settings
 from gentianstair.generated import settings as generated
 
-GIVEN = {
+REQUIRED_FLAGS = {
     'vm_name': 'vm-1',
     'failure_domain': 'north',
     'platform_url': 'http://127.0.0.1:1',
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ('name', 'text', 'said'),
+    ('name', 'text', 'allowed'),
     [
         ('max_body_bytes', 'many', 'a whole number'),
         ('max_body_bytes', '5', '1024 to 67108864'),
@@ -25,16 +25,18 @@
         ('vm_name', 'a b', 'letters, digits'),
     ],
 )
-def test_bad_value_names_flag_value_and_allowed(name, text, said):
+def test_error_names_flag_invalid_value_and_allowed_values(
+    name, text, allowed
+):
     with pytest.raises(errors.SettingsError) as caught:
-        settings.collect(generated.ENTRY, {**GIVEN, name: text}, {})
+        settings.collect(generated.ENTRY, {**REQUIRED_FLAGS, name: text}, {})
     line = str(caught.value)
     assert '--' + name.replace('_', '-') in line
     assert repr(text) in line
-    assert said in line
+    assert allowed in line
 
 
-def test_all_problems_are_reported_at_once():
+def test_all_invalid_settings_are_reported_at_once():
     environ = {
         'GENTIANSTAIR_LISTEN': 'x',
         'GENTIANSTAIR_LISTNE': '127.0.0.1:1',
@@ -46,16 +48,16 @@
     assert 'GENTIANSTAIR_LISTNE: no such setting' in lines
 
 
-def test_flag_goes_before_variable():
+def test_flag_overrides_environment_variable():
     environ = {'GENTIANSTAIR_VM_NAME': 'vm-2'}
-    values = settings.collect(generated.ENTRY, GIVEN, environ)
+    values = settings.collect(generated.ENTRY, REQUIRED_FLAGS, environ)
     assert values['vm_name'] == 'vm-1'
     assert values['request_timeout_s'] == 300.0
 
 
-def test_unknown_flags_are_reported_with_all_else():
-    # A misspelt flag stopped the start with a page of usage, and the other
-    # mistakes showed only at the next starts, one at a time.
+def test_unknown_flag_does_not_hide_other_invalid_settings():
+    # The argument parser alone would stop at the unknown flag and not report
+    # the other errors.
     argv = ['--vm-name', 'vm-1', '--listne', 'x', '--failure-domain=a b']
     with pytest.raises(errors.SettingsError) as caught:
         settings.read('entry', generated.ENTRY, argv, {})
