--- a/gentianstair/entry/claim_links.py
+++ b/gentianstair/entry/claim_links.py
@@ -68,7 +68,7 @@
     async def ask(
         self, shard_number: int, changes: list[claim_shard.Change]
     ) -> list[claim_shard.ChangeResult]:
-        """Have the owner apply changes; raise StoreUnknownError."""
+        """Have the owner apply changes; raise StoreOutcomeUnknownError."""
         ask: messages.ClaimAsk = {
             'version': VERSION,
             'ask_id': next(self._ids),
@@ -81,12 +81,12 @@
                 await self._channel.send(cbor2.dumps(ask))
                 await done.wait()
         except link.LinkClosedError as error:
-            raise errors.StoreUnknownError(str(error)) from error
+            raise errors.StoreOutcomeUnknownError(str(error)) from error
         finally:
             del self._pending[ask['ask_id']]
         answer = self._answers.pop(ask['ask_id'], None)
         if answer is None or answer['founds'] is None:
-            raise errors.StoreUnknownError(
+            raise errors.StoreOutcomeUnknownError(
                 'the owner did not confirm the changes'
             )
         return [
@@ -151,7 +151,7 @@
         for first in range(0, len(changes), MAX_CHANGES):
             found_link = self._links.get(owner)
             if found_link is None:
-                raise errors.StoreUnknownError(f'no link to {owner}')
+                raise errors.StoreOutcomeUnknownError(f'no link to {owner}')
             part = changes[first : first + MAX_CHANGES]
             founds += await found_link.ask(shard_number, part)
         return founds
--- a/gentianstair/entry/claims.py
+++ b/gentianstair/entry/claims.py
@@ -98,7 +98,7 @@
         shard_number: int,
         changes: list[claim_shard.Change],
     ) -> list[claim_shard.ChangeResult]:
-        """Have the owner apply changes; raise StoreUnknownError."""
+        """Have the owner apply changes; raise StoreOutcomeUnknownError."""
 
 
 class _PendingChange:
@@ -193,7 +193,7 @@
         names = {f'shard-{shard_number:05d}'}
         if names != {self._shard_of(item.name).name for item in changes}:
             # The other VM is configured with another number of shards.
-            raise errors.StoreUnknownError(
+            raise errors.StoreOutcomeUnknownError(
                 f'keys do not belong to shard {shard_number}'
             )
         shard = self._shards[shard_number]
@@ -206,7 +206,7 @@
         for pending in pending_changes:
             await pending.done.wait()
             if pending.found is None:
-                raise errors.StoreUnknownError(shard.name)
+                raise errors.StoreOutcomeUnknownError(shard.name)
             results.append(pending.found)
         return results
 
@@ -342,7 +342,7 @@
                 results = await self._forward(shard, batch)
                 if results is None:
                     results = await self._write_batch(shard, batch)
-            except errors.BudgetError:
+            except errors.StoreRateLimitError:
                 # Not an outage: the batch grows until the budget allows it.
                 await trio.sleep(STORE_BUDGET_WAIT_S)
                 continue
@@ -471,7 +471,7 @@
             except errors.StoreConflictError:
                 CONFLICTS.inc()
                 await self._back_off(attempt)
-            except errors.StoreUnknownError:
+            except errors.StoreOutcomeUnknownError:
                 for pending in batch:
                     pending.maybe_written = True
             else:
--- a/gentianstair/entry/usage.py
+++ b/gentianstair/entry/usage.py
@@ -170,7 +170,7 @@
                 self._version,
                 purpose=PURPOSE,
             )
-        except errors.StoreUnknownError:
+        except errors.StoreOutcomeUnknownError:
             self._unconfirmed[value['nonce']] = rows
             raise
         except errors.StoreConflictError:
--- a/gentianstair/errors.py
+++ b/gentianstair/errors.py
@@ -1,4 +1,4 @@
-"""Define the exception tree; every error of this package is in it."""
+"""Exception hierarchy of this package."""
 
 import typing
 
@@ -6,35 +6,35 @@
 
 
 class GentianstairError(Exception):
-    """Be the root of all errors this package raises."""
+    """Base class of all errors that this package raises."""
 
 
 class UserError(GentianstairError):
-    """Report a user's mistake; shown as one line, never a traceback."""
+    """Invalid user input; printed without a traceback."""
 
 
 class SettingsError(UserError):
-    """Report every bad setting of a start at once, a line each."""
+    """One or more invalid settings, listed one per line."""
 
 
 class DecodeError(GentianstairError):
-    """Report bytes or an object that does not match the schema."""
+    """Encoded data or an object that does not match the schema."""
 
 
 class StoreError(GentianstairError):
-    """Report a failed call of the platform's object store."""
+    """Failed call to the platform's object store."""
 
 
 class StoreUnavailableError(StoreError):
-    """Report a call that certainly had no effect."""
+    """Store call that failed and is known to have had no effect."""
 
 
-class StoreUnknownError(StoreError):
-    """Report a write whose answer was lost; it may have taken effect."""
+class StoreOutcomeUnknownError(StoreError):
+    """Write whose response was lost; it may have taken effect."""
 
 
 class StoreConflictError(StoreError):
-    """Report a conditional write whose expected version is not current."""
+    """Conditional write whose expected version is not the current one."""
 
     def __init__(self, kind: str, name: str, current_version: int) -> None:
         super().__init__(f'{kind}/{name} is at version {current_version}')
@@ -44,19 +44,22 @@
 
 
 class WatchTooOldError(StoreError):
-    """Report a watch from a revision the store no longer keeps."""
+    """Watch from a revision that the store has already compacted."""
 
 
-class BudgetError(StoreUnavailableError):
-    """Report a call refused by our own limiter; it was never sent."""
+class StoreRateLimitError(StoreUnavailableError):
+    """Store call rejected by the local rate limiter before being sent."""
 
 
 class LeaseLostError(GentianstairError):
-    """Report that authority over a scope lapsed before an effect."""
+    """Lease on a scope that expired before an operation took effect."""
 
 
 class UpstreamError(GentianstairError):
-    """Report a failed try at an upstream, with what is known of it."""
+    """Failed attempt at an upstream.
+
+    ``verdict`` says whether the upstream may have run the request.
+    """
 
     def __init__(self, message: str, verdict: verdicts.Verdict) -> None:
         super().__init__(message)
@@ -64,17 +67,17 @@
 
 
 class UnreachableError(UpstreamError):
-    """Report an upstream to which no connection could be opened."""
+    """Upstream to which no connection could be opened."""
 
     def __init__(self, message: str) -> None:
         super().__init__(message, verdicts.Verdict.NOT_RUN)
 
 
-class TurnedAwayError(UpstreamError):
-    """Report an upstream that answered that it did not run the request.
+class UpstreamRejectedError(UpstreamError):
+    """Upstream that responded without running the request.
 
-    A full one does so; it is no sign of a fault. ``status`` is what it
-    answered with.
+    An upstream at capacity does this, so it doesn't count as a failure of
+    the upstream. ``status`` is the HTTP status of the response.
     """
 
     def __init__(self, message: str, status: int) -> None:
@@ -83,9 +86,9 @@
 
 
 class RequestError(GentianstairError):
-    """Refuse or fail a caller's request with a problem body (RFC 9457).
+    """Request rejected or failed with a problem body (RFC 9457).
 
-    ``retry_after_s`` is set whenever coming back later can help.
+    ``retry_after_s`` is set if a later retry may succeed.
     """
 
     def __init__(
@@ -104,7 +107,7 @@
         self.retry_after_s = retry_after_s
 
     def to_problem(self) -> dict[str, typing.Any]:
-        """Return the body of the answer, without its headers."""
+        """Return the problem details for the response body."""
         problem: dict[str, typing.Any] = {
             'type': f'urn:gentianstair:problem:{self.kind}',
             'title': self.kind.replace('-', ' '),
--- a/gentianstair/gateway/autoscaler.py
+++ b/gentianstair/gateway/autoscaler.py
@@ -85,7 +85,7 @@
                     order.count,
                     order.reclaimable,
                 )
-            except errors.TurnedAwayError as error:
+            except errors.UpstreamRejectedError as error:
                 self._planner.record_unavailable(order, now_s)
                 _log_order(events.NONE_TO_BE_HAD, order, str(error))
                 continue
--- a/gentianstair/gateway/members.py
+++ b/gentianstair/gateway/members.py
@@ -212,7 +212,7 @@
             # An earlier write took effect although its answer was lost, as
             # no other process writes this object.
             self._version = error.current_version
-        except errors.StoreUnknownError:
+        except errors.StoreOutcomeUnknownError:
             await self._read_back()
         except errors.StoreError as error:
             loguru.logger.bind(event=events.BEAT_FAILED).debug('{}', error)
--- a/gentianstair/gateway/remote_prefill.py
+++ b/gentianstair/gateway/remote_prefill.py
@@ -136,7 +136,7 @@
         if isinstance(error, errors.UnreachableError):
             return
         restarted = (
-            isinstance(error, errors.TurnedAwayError)
+            isinstance(error, errors.UpstreamRejectedError)
             and error.status == http_codec.HTTP_MISDIRECTED
         )
         if not restarted:
@@ -163,5 +163,5 @@
     if isinstance(error, errors.UnreachableError):
         return error
     if response is not None and response.verdict is verdicts.Verdict.NOT_RUN:
-        return errors.TurnedAwayError(str(error), response.status)
+        return errors.UpstreamRejectedError(str(error), response.status)
     return errors.UpstreamError(str(error), verdicts.Verdict.NOT_RUN)
--- a/gentianstair/gateway/request_state.py
+++ b/gentianstair/gateway/request_state.py
@@ -179,7 +179,7 @@
             loguru.logger.bind(
                 event=events.REPLICA_UNREACHABLE, replica=replica.name
             ).info('could not connect to a replica; skipping it for now')
-        elif not isinstance(error, errors.TurnedAwayError):
+        elif not isinstance(error, errors.UpstreamRejectedError):
             self.node.ejector.record_outcome(
                 key, False, now_s - started_s, now_s
             )
--- a/gentianstair/gateway/streaming.py
+++ b/gentianstair/gateway/streaming.py
@@ -299,7 +299,7 @@
             self.response = replica_response
             return
         if verdict is verdicts.Verdict.NOT_RUN:
-            raise errors.TurnedAwayError(
+            raise errors.UpstreamRejectedError(
                 f'the replica responded with {replica_response.status}',
                 replica_response.status,
             )
--- a/gentianstair/gateway/unary.py
+++ b/gentianstair/gateway/unary.py
@@ -72,7 +72,7 @@
 ) -> forward.ReplicaResponse:
     """Return a response for the caller; raise if it is a failure."""
     if response.verdict is verdicts.Verdict.NOT_RUN:
-        raise errors.TurnedAwayError(
+        raise errors.UpstreamRejectedError(
             f'the replica responded with {response.status}', response.status
         )
     if response.status >= 500:
--- a/gentianstair/platform/cloud_client.py
+++ b/gentianstair/platform/cloud_client.py
@@ -45,8 +45,8 @@
         """Set the desired number of replicas of a service in a failure domain.
 
         On-demand and reclaimable replicas are ordered separately. Raise
-        TurnedAwayError if no capacity is available there, and UpstreamError
-        or LeaseLostError.
+        UpstreamRejectedError if no capacity is available there, and
+        UpstreamError or LeaseLostError.
         """
         body: dict[str, str | int | bool] = {
             'service': service,
@@ -76,7 +76,7 @@
             },
         )
         if answer.status == 409:
-            raise errors.TurnedAwayError(
+            raise errors.UpstreamRejectedError(
                 f'{path}: no capacity available', answer.status
             )
         if answer.status != 200:
--- a/gentianstair/platform/object_store.py
+++ b/gentianstair/platform/object_store.py
@@ -80,7 +80,7 @@
     ) -> tuple[int, bytes]:
         """Return status and body.
 
-        Raise StoreUnavailableError or StoreUnknownError.
+        Raise StoreUnavailableError or StoreOutcomeUnknownError.
         """
         url = f'http://{self._address}/api/objects/{path}'
         if params:
@@ -118,7 +118,7 @@
         # A read has no effect, whether it ran or not.
         if method == 'GET':
             return errors.StoreUnavailableError(reason)
-        return errors.StoreUnknownError(reason)
+        return errors.StoreOutcomeUnknownError(reason)
 
     async def get(
         self, kind: str, name: str, *, purpose: str
--- a/gentianstair/store/call_budget.py
+++ b/gentianstair/store/call_budget.py
@@ -140,7 +140,7 @@
             priority_class, self._current_rate_share(), self._clock()
         ):
             CALLS.labels(priority_class, call, 'over_budget').inc()
-            raise errors.BudgetError(
+            raise errors.StoreRateLimitError(
                 f'store {call} for {purpose}: call budget exceeded'
             )
 
@@ -160,7 +160,7 @@
             outcome = 'unavailable'
             self._back_off()
             raise
-        except errors.StoreUnknownError:
+        except errors.StoreOutcomeUnknownError:
             outcome = 'unknown'
             self._back_off()
             raise
--- a/gentianstair/store/confirmed_write.py
+++ b/gentianstair/store/confirmed_write.py
@@ -40,8 +40,8 @@
     write took effect. Otherwise the write is repeated with the same
     expected version, so at most one of the two takes effect. Raise
     StoreConflictError if another process wrote the object,
-    StoreUnavailableError if nothing was written, and StoreUnknownError if
-    the effect is still unknown after MAX_ATTEMPTS.
+    StoreUnavailableError if nothing was written, and StoreOutcomeUnknownError
+    if the effect is still unknown after MAX_ATTEMPTS.
     """
     may_have_written = False
     for attempt in range(MAX_ATTEMPTS):
@@ -49,7 +49,7 @@
             return await store.put(
                 kind, name, value, expect_version, purpose=purpose
             )
-        except errors.StoreUnknownError:
+        except errors.StoreOutcomeUnknownError:
             may_have_written = True
         except errors.StoreConflictError as error:
             if not may_have_written:
@@ -66,7 +66,7 @@
         found = await _read_back(store, kind, name, purpose)
         if found is not None and _has_nonce_of(found, value):
             return found.version
-    raise errors.StoreUnknownError(
+    raise errors.StoreOutcomeUnknownError(
         f'{kind}/{name}: unknown whether the write took effect'
     )
 
--- a/gentianstair/store/http_store.py
+++ b/gentianstair/store/http_store.py
@@ -51,7 +51,7 @@
             # taken effect.
             if method == 'GET':
                 raise errors.StoreUnavailableError(str(error)) from error
-            raise errors.StoreUnknownError(str(error)) from error
+            raise errors.StoreOutcomeUnknownError(str(error)) from error
         return response
 
     def _decode(
@@ -68,7 +68,7 @@
                 f'the store rejected the call with {response.status_code}'
             )
         if response.status_code >= 400:
-            raise errors.StoreUnknownError(
+            raise errors.StoreOutcomeUnknownError(
                 f'{kind}/{name}: status {response.status_code}'
             )
         return response.json()
--- a/gentianstair/store/store.py
+++ b/gentianstair/store/store.py
@@ -31,9 +31,9 @@
     """The object API: reads, conditional updates and watches.
 
     All calls may raise StoreUnavailableError (no effect). Writes may also
-    raise StoreUnknownError: the response was lost, and only reading back
-    tells whether the write took effect. ``purpose`` names the reason of the
-    call, for example ``lease`` or ``claim``; calls are counted and limited
+    raise StoreOutcomeUnknownError: the response was lost, and only reading
+    back tells whether the write took effect. ``purpose`` names the reason of
+    the call, for example ``lease`` or ``claim``; calls are counted and limited
     by it.
     """
 
--- a/gentianstair/ui/change.py
+++ b/gentianstair/ui/change.py
@@ -16,7 +16,7 @@
 Edit = collections.abc.Callable[[store.Value | None], store.Value]
 
 
-class EffectUnknownError(errors.StoreUnknownError):
+class EffectUnknownError(errors.StoreOutcomeUnknownError):
     """Report a change that may or may not be in force."""
 
 
@@ -38,7 +38,7 @@
             return await client.put(
                 kind, name, value, expected, purpose='operator'
             )
-        except errors.StoreUnknownError:
+        except errors.StoreOutcomeUnknownError:
             lost = True
         except (errors.StoreConflictError, errors.StoreUnavailableError):
             # After a lost answer neither says that nothing was changed.
--- a/gentianstair/ui/main.py
+++ b/gentianstair/ui/main.py
@@ -139,7 +139,7 @@
 def _exit_code(error: errors.GentianstairError) -> int:
     if isinstance(error, errors.StoreConflictError):
         return EXIT_REFUSED
-    if isinstance(error, errors.StoreUnknownError):
+    if isinstance(error, errors.StoreOutcomeUnknownError):
         return EXIT_UNKNOWN
     if isinstance(error, errors.StoreUnavailableError):
         return EXIT_UNAVAILABLE
--- a/gentianstair/util/audit.py
+++ b/gentianstair/util/audit.py
@@ -83,7 +83,7 @@
             # The name is random, so an earlier attempt of this call, whose
             # response was lost, has created the object.
             return
-        except errors.StoreUnknownError:
+        except errors.StoreOutcomeUnknownError:
             if attempt == CREATE_TRIES - 1:
                 raise
 
@@ -95,8 +95,8 @@
 ) -> str:
     """Record an entry and return its name.
 
-    Raise StoreUnavailableError or StoreUnknownError; the change must then
-    not be made.
+    Raise StoreUnavailableError or StoreOutcomeUnknownError; the change must
+    then not be made.
     """
     name = name or make_entry_name(entry)
     await _create(client, KIND, name, entry)
--- a/standins/chaos.py
+++ b/standins/chaos.py
@@ -141,19 +141,19 @@
         """See Store.put."""
         await self._enter(purpose)
         if kind in self.cut_kinds:
-            raise errors.StoreUnknownError('the request was lost')
+            raise errors.StoreOutcomeUnknownError('the request was lost')
         chances = self._process.chances
         if self._process.chance(chances.lose_request):
-            raise errors.StoreUnknownError('the request was lost')
+            raise errors.StoreOutcomeUnknownError('the request was lost')
         if self._process.chance(chances.late):
             self._process.world.nursery.start_soon(
                 self._put_late, kind, name, value, expect_version
             )
-            raise errors.StoreUnknownError('the request is late')
+            raise errors.StoreOutcomeUnknownError('the request is late')
         version = self._write(kind, name, value, expect_version)
         await self._process.step()
         if self._process.chance(chances.lose_answer):
-            raise errors.StoreUnknownError('the answer was lost')
+            raise errors.StoreOutcomeUnknownError('the answer was lost')
         return version
 
     async def _put_late(
--- a/standins/memory_store.py
+++ b/standins/memory_store.py
@@ -34,7 +34,7 @@
 
     def _leave(self) -> None:
         if self.faults.random.random() < self.faults.lose_answers:
-            raise errors.StoreUnknownError('the answer was lost')
+            raise errors.StoreOutcomeUnknownError('the answer was lost')
 
     async def get(
         self, kind: str, name: str, *, purpose: str
--- a/test/entry/test_claims_explored.py
+++ b/test/entry/test_claims_explored.py
@@ -34,7 +34,7 @@
         process = self.entry.process
         await process.step()
         if process.chance(0.05) or owner not in self.entries:
-            raise errors.StoreUnknownError('lost')
+            raise errors.StoreOutcomeUnknownError('lost')
         other, nursery = self.entries[owner]
         done = trio.Event()
         results = []
@@ -54,7 +54,7 @@
             await process.step()
             if not process.chance(0.05):
                 return results
-        raise errors.StoreUnknownError('no answer')
+        raise errors.StoreOutcomeUnknownError('no answer')
 
 
 class Entry:
--- a/test/platform/test_object_store.py
+++ b/test/platform/test_object_store.py
@@ -72,8 +72,8 @@
     ('version', 'error'),
     [
         (None, errors.StoreUnavailableError),
-        (0, errors.StoreUnknownError),
-        (5, errors.StoreUnknownError),
+        (0, errors.StoreOutcomeUnknownError),
+        (5, errors.StoreOutcomeUnknownError),
     ],
 )
 async def test_call_on_closed_connection_tells_if_it_may_have_run(
--- a/test/store/test_call_budget.py
+++ b/test/store/test_call_budget.py
@@ -24,7 +24,7 @@
                 try:
                     await store.get('a', 'x', purpose=purpose)
                     passed[purpose] += 1
-                except errors.BudgetError:
+                except errors.StoreRateLimitError:
                     pass
         await trio.sleep(0.1)
     return passed
--- a/test/store/test_store.py
+++ b/test/store/test_store.py
@@ -74,7 +74,7 @@
 async def test_a_lost_response_differs_from_an_unsent_call(kind):
     async with open_store(kind) as (store, faults):
         faults.lose_answers = 1.0
-        with pytest.raises(errors.StoreUnknownError):
+        with pytest.raises(errors.StoreOutcomeUnknownError):
             await store.put('a', 'x', {'n': 1}, 0, purpose='test')
         found = await store.get('a', 'x', purpose='test')
         assert found.value == {'n': 1}
--- a/test/ui/test_change.py
+++ b/test/ui/test_change.py
@@ -46,7 +46,7 @@
         if word == 'lost':
             self.table.write(*args)
         if word:
-            raise errors.StoreUnknownError('no answer')
+            raise errors.StoreOutcomeUnknownError('no answer')
         late, self._late = self._late, None
         try:
             return await super().put(*args, purpose=purpose)
@@ -190,6 +190,6 @@
 async def test_nothing_is_changed_when_it_cannot_be_recorded():
     table = make_table()
     client = ScriptedStore(table, 'audit', ['dropped'] * audit.CREATE_TRIES)
-    with pytest.raises(errors.StoreUnknownError):
+    with pytest.raises(errors.StoreOutcomeUnknownError):
         await drain(client)
     assert table.get('upstream', 'e').value['state'] == 'active'
