--- a/gentianstair/store/call_budget.py
+++ b/gentianstair/store/call_budget.py
@@ -141,7 +141,7 @@
             priority_class, self._current_rate_share(), self._clock()
         ):
             CALLS.labels(priority_class, call, 'over_budget').inc()
-            raise errors.BudgetError(
+            raise errors.StoreRateLimitError(
                 f'store {call} for {purpose}: call budget exceeded'
             )
 
@@ -161,7 +161,7 @@
             outcome = 'unavailable'
             self._back_off()
             raise
-        except errors.StoreUnknownError:
+        except errors.StoreOutcomeUnknownError:
             outcome = 'unknown'
             self._back_off()
             raise
